--- a/bench/limits.py
+++ b/bench/limits.py
@@ -15,7 +15,7 @@
 from aiohttp import ClientSession, web
 
 from wrenloft_core import AgentId, IncarnationId, NodeId, PlaceName, RegionName, ServiceName
-from wrenloft_policy import NamedLimit, RateLimit
+from wrenloft_policy import AdvertisedLimit, RateLimit
 from wrenloft_routing import (
     BackendService,
     Endpoint,
@@ -78,7 +78,7 @@
     for number in range(count):
         state = endpoints.get(AgentId(f"i-{number:010x}"))
         assert state is not None
-        endpoints.record_limit(state, NamedLimit(1.8, "1.8"), limit_known=False)
+        endpoints.record_limit(state, AdvertisedLimit(1.8, "1.8"), limit_known=False)
 
 
 def measure_look(endpoints: Endpoints) -> float:
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -163,7 +163,7 @@
     Safeguard(
         "a lease ends for its holder before it ends at the service",
         f"{POLICY}/_ownership.py",
-        "self.sent_at + self.seconds * (1.0 - _MARGIN)",
+        "self.sent_at + self.seconds * (1.0 - _CLOCK_DRIFT_MARGIN)",
         "self.sent_at + self.seconds",
         f"{NODE_TESTS}/test_shards.py::TestLease::test_ends_before_the_service_ends_it",
     ),
@@ -199,7 +199,7 @@
     Safeguard(
         "half of the runners are never ejected",
         f"{POLICY}/_ejection.py",
-        "while len(kept) < least and ejected:",
+        "while len(kept) < min_kept and ejected:",
         "while False:",
         f"{POLICY_TESTS}/test_limits.py::TestEjections::test_never_ejects_all",
     ),
@@ -419,7 +419,7 @@
     Safeguard(
         "feeders leave their link to the origin",
         f"{POLICY}/_fetching.py",
-        "if mine and origin_first and not origin_free:",
+        "if own_turn and origin_first and not origin_free:",
         "if False:",
         f"{POLICY_TESTS}/test_fetching.py::TestChooseFetch"
         "::test_feeder_leaves_its_link_to_the_origin",
@@ -467,7 +467,7 @@
     Safeguard(
         "other nodes of a zone read the store in turns",
         f"{ROUTING}/_readings.py",
-        "wait = self._random.uniform(0.0, 2.0 * SELF_READ_SECONDS * nodes)",
+        "wait = self._random.uniform(0.0, 2.0 * DIRECT_READ_SECONDS * nodes)",
         "wait = 0.0",
         f"{ROUTING_TESTS}/test_beliefs.py::TestSharedReading"
         "::test_store_that_is_away_gets_few_calls_from_many_nodes",
@@ -475,7 +475,7 @@
     Safeguard(
         "relays take over reading in turn",
         f"{POLICY}/_relays.py",
-        "min(TAKE_OVER_LATEST, STALE_FACTOR + TAKE_OVER_STEP * (place_rank - 1))",
+        "min(MAX_STALE_INTERVALS, STALE_INTERVALS + TAKEOVER_STEP * (place_rank - 1))",
         "1.0",
         f"{POLICY_TESTS}/test_relays.py::TestReadPatience::test_relays_take_over_in_turn",
     ),
@@ -497,7 +497,7 @@
     Safeguard(
         "chunks are not late while the origin is drained",
         f"{POLICY}/_fetching.py",
-        "age - DRAIN_MARGIN * drain_seconds",
+        "age - DRAIN_TIME_FACTOR * drain_seconds",
         "age - 1.0",
         f"{POLICY_TESTS}/test_fetching.py::TestLateness"
         "::test_chunks_are_not_late_while_the_origin_is_drained",
@@ -629,7 +629,7 @@
     Safeguard(
         "engines go on one after the other",
         f"{POLICY}/_versions.py",
-        "turn * max(SWAP_GAP_SECONDS, latest - start)",
+        "turn * max(MIN_SWAP_SPREAD_SECONDS, latest - start)",
         "0.0",
         f"{POLICY_TESTS}/test_versions.py::TestPickSwapTime"
         "::test_engines_go_on_one_after_the_other",
@@ -637,7 +637,7 @@
     Safeguard(
         "crashes told by other nodes count",
         f"{ROUTING}/_crash_ledger.py",
-        "if told.age < EVIDENCE_SECONDS:",
+        "if told.age < CRASH_TTL_SECONDS:",
         "if False:",
         f"{ROUTING_TESTS}/test_crash_ledger.py::TestHold"
         "::test_third_crash_seen_by_anybody_holds",
@@ -652,8 +652,8 @@
     Safeguard(
         "an excuse goes before a crash, in any order",
         f"{POLICY}/_crashes.py",
-        "standing=max(known.standing, told.standing)",
-        "standing=told.standing",
+        "status=max(known.status, reported.status)",
+        "status=reported.status",
         f"{POLICY_TESTS}/test_crashes.py::test_words_join_to_the_same_in_any_order",
     ),
     Safeguard(
@@ -675,7 +675,7 @@
     Safeguard(
         "a whole answer speaks for its content",
         f"{ROUTING}/_crash_guard.py",
-        "if ats and is_proven(proven_at, max(ats)):",
+        "if ats and is_cleared_by_success(proven_at, max(ats)):",
         "if False:",
         f"{ROUTING_TESTS}/test_crash_guard.py"
         "::test_poll_in_progress_at_each_engine_of_a_rack_is_not_held_back",
@@ -683,7 +683,7 @@
     Safeguard(
         "a worse content explains its victims",
         f"{POLICY}/_crashes.py",
-        "unexplained -= theirs",
+        "unexplained -= other_counted",
         "pass",
         f"{POLICY_TESTS}/test_crashes.py::test_victim_of_a_worse_request_is_not_counted",
     ),
@@ -704,8 +704,8 @@
     Safeguard(
         "trials grow seldomer with each crash",
         f"{POLICY}/_crashes.py",
-        "TRIAL_SECONDS * 2.0**further",
-        "TRIAL_SECONDS",
+        "PROBE_INTERVAL_SECONDS * 2.0**extra_crashes",
+        "PROBE_INTERVAL_SECONDS",
         f"{POLICY_TESTS}/test_crashes.py::test_each_further_crash_doubles_the_wait",
     ),
     Safeguard(
@@ -832,15 +832,15 @@
     Safeguard(
         "the most urgent request gets the next grant",
         f"{ROUTING}/_limiter.py",
-        "needed = count_needed(sum(each < request.urgency for each in others), rate)",
+        "needed = count_required_tokens(sum(each < request.urgency for each in others), rate)",
         "needed = 1.0",
         f"{ROUTING_TESTS}/test_limiter.py::test_urgent_request_that_was_denied_goes_first",
     ),
     Safeguard(
         "a limit ends after several answers without it",
         f"{POLICY}/_rate_limits.py",
-        "ANSWERS_TO_END = 3",
-        "ANSWERS_TO_END = 1",
+        "ANSWERS_TO_CLEAR_LIMIT = 3",
+        "ANSWERS_TO_CLEAR_LIMIT = 1",
         f"{ROUTING_TESTS}/test_limit_ledger.py::TestObserve"
         "::test_answers_without_it_among_others_do_not_end_it",
     ),
@@ -855,7 +855,7 @@
     Safeguard(
         "of two beliefs on a limit the later one holds",
         f"{POLICY}/_rate_limits.py",
-        "if known is None or (told.sequence, told.node) > (known.sequence, known.node):",
+        "if known is None or (reported.sequence, reported.node) > (known.sequence, known.node):",
         "if True:",
         f"{POLICY_TESTS}/test_rate_limits.py::TestJoinLimit"
         "::test_nodes_agree_in_whichever_order_they_hear",
@@ -871,7 +871,7 @@
     Safeguard(
         "a bucket holds little",
         f"{POLICY}/_rate_limits.py",
-        "return Bucket(min(measure_burst(rate), bucket.tokens + earned), now)",
+        "return Bucket(min(compute_burst_size(rate), bucket.tokens + refill), now)",
         "return Bucket(bucket.tokens + earned, now)",
         f"{POLICY_TESTS}/test_rate_limits.py::TestRefillBucket"
         "::test_holds_little_however_long_nobody_came",
--- a/packages/wrenloft-agent/src/wrenloft_agent/_transfer.py
+++ b/packages/wrenloft-agent/src/wrenloft_agent/_transfer.py
@@ -26,7 +26,7 @@
     VersionDigest,
     WrenloftError,
 )
-from wrenloft_policy import Permit, Source, choose_chunk
+from wrenloft_policy import NeighbourSource, Permit, choose_chunk
 
 _LOG = logging.getLogger(__name__)
 
@@ -153,7 +153,7 @@
     def _choose(self, manifest: Manifest, open_chunks: list[int]) -> tuple[int, Neighbour] | None:
         now = asyncio.get_running_loop().time()
         sources = [
-            Source(each.agent_id, each.held, each.busy, each.distance)
+            NeighbourSource(each.agent_id, each.held, each.busy, each.distance)
             for each in self._neighbours.known.values()
             if each.avoided_until <= now and each.held and each.busy < _BUSY_LIMIT
         ]
@@ -167,7 +167,7 @@
         return choice[0], self._neighbours.known[choice[1]]
 
     def _choose_hedge(
-        self, manifest: Manifest, sources: list[Source], now: float
+        self, manifest: Manifest, sources: list[NeighbourSource], now: float
     ) -> tuple[int, AgentId] | None:
         """At the end, ask a second source for a chunk that is late.
 
--- a/packages/wrenloft-policy/src/wrenloft_policy/_admission.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_admission.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class LimitShare:
     """One node's part of an organisation's limits."""
 
     rate: float
@@ -21,7 +21,7 @@
 
 def divide_limits(
     limits: Limits, demand: Mapping[NodeId, float], node_id: NodeId, node_count: int
-) -> Share:
+) -> LimitShare:
     """Return this node's share, in proportion to recent demand.
 
     Every node keeps at least a tenth of an equal share: a caller that moves to a node without
@@ -33,10 +33,10 @@
     own = demand.get(node_id, 0.0)
     total = sum(demand.values())
     proportional = own / total if total > 0 else 1.0 / count
-    part = _DEMAND_FLOOR / count + (1.0 - _DEMAND_FLOOR) * proportional
-    return Share(
-        rate=limits.rate * part,
-        concurrent=max(1, round(limits.concurrent * part)),
+    fraction = _DEMAND_FLOOR / count + (1.0 - _DEMAND_FLOOR) * proportional
+    return LimitShare(
+        rate=limits.rate * fraction,
+        concurrent=max(1, round(limits.concurrent * fraction)),
         queue=limits.queue,
     )
 
@@ -46,7 +46,7 @@
 
     def __init__(self, now: float) -> None:
         self._tokens: float | None = None
-        self._at = now
+        self._updated_at = now
 
     def take(self, rate: float, now: float) -> float:
         """Take one token.
@@ -55,8 +55,8 @@
         """
         burst = max(1.0, rate * _BURST_SECONDS)
         tokens = burst if self._tokens is None else self._tokens
-        tokens = min(burst, tokens + (now - self._at) * rate)
-        self._at = now
+        tokens = min(burst, tokens + (now - self._updated_at) * rate)
+        self._updated_at = now
         self._tokens = tokens - 1.0 if tokens >= 1.0 else tokens
         return 0.0 if tokens >= 1.0 else (1.0 - tokens) / rate
 
@@ -65,7 +65,7 @@
     priority: Priority,
     *,
     bucket: TokenBucket,
-    share: Share,
+    share: LimitShare,
     in_progress: int,
     spread_seconds: float,
     now: float,
--- a/packages/wrenloft-policy/src/wrenloft_policy/_crashes.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_crashes.py
@@ -6,32 +6,32 @@
 
 from wrenloft_core import IncarnationId
 
-CRASHES_TO_HOLD = 3
+CRASHES_TO_QUARANTINE = 3
 """Endpoints that fall under one content before it is held back. A request is in progress at one or
 two that fall by chance; each further one takes a share of the fleet from everybody."""
 
-EVIDENCE_SECONDS = 600.0
+CRASH_TTL_SECONDS = 600.0
 """How long a crash counts. A caller repeats a failing request for seconds to minutes; one whose
 repeats are further apart costs one engine in ten minutes, which is back within ten seconds."""
 
-TRIAL_SECONDS = 60.0
+PROBE_INTERVAL_SECONDS = 60.0
 """From the third crash of a content until it is tried once more, in the whole fleet; doubled by
 each further crash. A trial costs one engine for ten seconds at the worst. Whatever was held back
 wrongly has three crashes and is found out within a minute; the more engines fell, the surer it is
 that the next one falls too."""
 
-TRIAL_LONGEST = 480.0
+MAX_PROBE_INTERVAL_SECONDS = 480.0
 """Longest such wait: a trial comes while the crashes before it still count."""
 
-PROVEN_SECONDS = 10.0
+SUCCESS_TTL_SECONDS = 10.0
 """How long a whole answer speaks for its content. Whatever is polled has one more often than that;
 longer, a content that begins to crash endpoints would go on for as long."""
 
 
-class Standing(IntEnum):
+class CrashStatus(IntEnum):
     """Whether a crash counts against a content; of two opinions the higher one holds."""
 
-    COUNTS = 0
+    COUNTED = 0
     SUCCEEDED = 1
     LIFTED = 2
 
@@ -44,23 +44,23 @@
     """
 
     at: float
-    standing: Standing = Standing.COUNTS
+    status: CrashStatus = CrashStatus.COUNTED
 
 
 Crashes = Mapping[IncarnationId, Crash]
 """The crashes of one content. Told by several nodes, the fall of one incarnation is one crash."""
 
 
-def list_counted(crashes: Crashes, now: float) -> set[IncarnationId]:
+def list_counted_crashes(crashes: Crashes, now: float) -> set[IncarnationId]:
     """Return the crashes that count against a content now."""
     return {
         incarnation
         for incarnation, crash in crashes.items()
-        if crash.standing is Standing.COUNTS and now - crash.at < EVIDENCE_SECONDS
+        if crash.status is CrashStatus.COUNTED and now - crash.at < CRASH_TTL_SECONDS
     }
 
 
-def count_unexplained(crashes: Crashes, others: Iterable[Crashes], now: float) -> int:
+def count_unexplained_crashes(crashes: Crashes, others: Iterable[Crashes], now: float) -> int:
     """Return the crashes of a content that no worse one explains.
 
     A request that crashes engines takes with it whatever else runs there. While it is repeated, an
@@ -69,34 +69,34 @@
 
     :param others: the crashes of the other contents that may be held back.
     """
-    counted = list_counted(crashes, now)
+    counted = list_counted_crashes(crashes, now)
     unexplained = set(counted)
     for other in others:
-        theirs = list_counted(other, now)
-        if len(theirs) > len(counted) and len(theirs) >= CRASHES_TO_HOLD:
-            unexplained -= theirs
+        other_counted = list_counted_crashes(other, now)
+        if len(other_counted) > len(counted) and len(other_counted) >= CRASHES_TO_QUARANTINE:
+            unexplained -= other_counted
     return len(unexplained)
 
 
-def join_crash(known: Crash | None, told: Crash) -> Crash:
+def merge_crash(known: Crash | None, reported: Crash) -> Crash:
     """Return what two words on the same crash say together, in whichever order they come."""
     if known is None:
-        return told
-    return replace(known, standing=max(known.standing, told.standing))
+        return reported
+    return replace(known, status=max(known.status, reported.status))
 
 
-def is_proven(success_at: float | None, crash_at: float) -> bool:
+def is_cleared_by_success(success_at: float | None, crash_at: float) -> bool:
     """Tell whether a whole answer was so late before a crash, or after it, that it counts more."""
-    return success_at is not None and crash_at - success_at < PROVEN_SECONDS
+    return success_at is not None and crash_at - success_at < SUCCESS_TTL_SECONDS
 
 
-def measure_trial_wait(crash_ats: Collection[float], trial_at: float, now: float) -> float:
+def compute_probe_delay(crash_ats: Collection[float], probe_at: float, now: float) -> float:
     """Return the seconds until a content that is held back may be tried once more.
 
     :param crash_ats: when endpoints fell under it.
-    :param trial_at: when this node last knew of a trial.
+    :param probe_at: when this node last knew of a trial.
     """
-    last = max(trial_at, max(crash_ats, default=float("-inf")))
-    further = max(0, len(crash_ats) - CRASHES_TO_HOLD)
-    pause = min(TRIAL_LONGEST, TRIAL_SECONDS * 2.0**further)
-    return max(0.0, last + pause - now)
+    last = max(probe_at, max(crash_ats, default=float("-inf")))
+    extra_crashes = max(0, len(crash_ats) - CRASHES_TO_QUARANTINE)
+    interval = min(MAX_PROBE_INTERVAL_SECONDS, PROBE_INTERVAL_SECONDS * 2.0**extra_crashes)
+    return max(0.0, last + interval - now)
--- a/packages/wrenloft-policy/src/wrenloft_policy/_ejection.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_ejection.py
@@ -11,15 +11,15 @@
     """When a runner is left out.
 
     :param failures: failures in a row.
-    :param seconds: for how long, doubled by each ejection in a row.
-    :param longest: the most seconds.
-    :param floor: the least fraction of runners always kept.
+    :param base_seconds: for how long, doubled by each ejection in a row.
+    :param max_seconds: the most seconds.
+    :param min_kept_share: the least fraction of runners always kept.
     """
 
     failures: int = 2
-    seconds: float = 1.0
-    longest: float = 30.0
-    floor: float = 0.5
+    base_seconds: float = 1.0
+    max_seconds: float = 30.0
+    min_kept_share: float = 0.5
 
 
 @dataclass(slots=True)
@@ -45,8 +45,8 @@
         history = self._histories.setdefault(agent_id, _History())
         history.failures += 1
         if history.failures >= self._rule.failures:
-            pause = min(self._rule.longest, self._rule.seconds * 2**history.ejections)
-            history.until = now + pause
+            seconds = min(self._rule.max_seconds, self._rule.base_seconds * 2**history.ejections)
+            history.until = now + seconds
             history.ejections += 1
             history.failures = 0
 
@@ -56,13 +56,15 @@
         If too many are ejected, the fault lies more likely with this node's own link than with
         all runners; then those whose ejection ends first are kept, so that requests go on.
         """
-        kept = [each for each in agent_ids if self._until(each) <= now]
-        least = -(-len(agent_ids) * self._rule.floor // 1)
-        ejected = sorted((each for each in agent_ids if self._until(each) > now), key=self._until)
-        while len(kept) < least and ejected:
+        kept = [each for each in agent_ids if self._ejected_until(each) <= now]
+        min_kept = -(-len(agent_ids) * self._rule.min_kept_share // 1)
+        ejected = sorted(
+            (each for each in agent_ids if self._ejected_until(each) > now), key=self._ejected_until
+        )
+        while len(kept) < min_kept and ejected:
             kept.append(ejected.pop(0))
         return set(kept)
 
-    def _until(self, agent_id: AgentId) -> float:
+    def _ejected_until(self, agent_id: AgentId) -> float:
         history = self._histories.get(agent_id)
         return history.until if history else 0.0
--- a/packages/wrenloft-policy/src/wrenloft_policy/_engine.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_engine.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-_MEAN_CHUNK_SHARE = 0.5
+_MEAN_PASS_SHARE_LEFT = 0.5
 """Part of a reading step that an arrival waits on average: it comes in mid-step."""
 
 
@@ -10,17 +10,17 @@
 class EngineProfile:
     """How an engine works through its batch.
 
-    An engine alternates between reading prompts, in pieces of ``chunk`` tokens, and ``stride``
-    token steps of all streams in its batch.
+    An engine alternates between reading prompts, in pieces of ``prefill_chunk_tokens``, and
+    ``stride`` token steps of all streams in its batch.
 
     :param slots: streams in the batch at most.
     :param stride: token steps in one pass, which become one event.
     :param step: seconds of a token step.
     :param step_per_stream: seconds that each stream in the batch adds to a step.
-    :param read_rate: prompt tokens read a second.
-    :param chunk: prompt tokens read in one pass at most.
-    :param usual_prompt: mean tokens of a prompt.
-    :param usual_output: mean tokens of an output.
+    :param prefill_rate: prompt tokens read a second.
+    :param prefill_chunk_tokens: prompt tokens read in one pass at most.
+    :param mean_prompt_tokens: mean tokens of a prompt.
+    :param mean_output_tokens: mean tokens of an output.
     :param memory_tokens: tokens that its memory holds.
     :param usual_read: seconds to read a usual prompt; follows from the others.
     """
@@ -29,10 +29,10 @@
     stride: int
     step: float
     step_per_stream: float
-    read_rate: float
-    chunk: int
-    usual_prompt: float
-    usual_output: float
+    prefill_rate: float
+    prefill_chunk_tokens: int
+    mean_prompt_tokens: float
+    mean_output_tokens: float
     memory_tokens: int = 0
     usual_read: float = field(init=False, repr=False, compare=False)
     _passes: tuple[float, ...] = field(init=False, repr=False, compare=False)
@@ -40,11 +40,11 @@
     def __post_init__(self) -> None:
         # Worked out once: a node compares a hundred engines for one request, and each comparison
         # needs several of these.
-        object.__setattr__(self, "usual_read", self.usual_prompt / self.read_rate)
-        passes = tuple(self._measure_pass(streams) for streams in range(self.slots + 1))
+        object.__setattr__(self, "usual_read", self.mean_prompt_tokens / self.prefill_rate)
+        passes = tuple(self._compute_pass(streams) for streams in range(self.slots + 1))
         object.__setattr__(self, "_passes", passes)
 
-    def writing_seconds(self, streams: int) -> float:
+    def decode_seconds(self, streams: int) -> float:
         """Return the seconds of one pass's token steps."""
         return self.stride * (self.step + self.step_per_stream * streams)
 
@@ -58,14 +58,16 @@
         """
         return self._passes[streams]
 
-    def _measure_pass(self, streams: int) -> float:
-        passes = max(1.0, self.usual_output / self.stride)
-        reading = streams * self.usual_read / passes
-        return self.writing_seconds(streams) + min(reading, self.chunk / self.read_rate)
+    def _compute_pass(self, streams: int) -> float:
+        passes = max(1.0, self.mean_output_tokens / self.stride)
+        prefill_seconds = streams * self.usual_read / passes
+        return self.decode_seconds(streams) + min(
+            prefill_seconds, self.prefill_chunk_tokens / self.prefill_rate
+        )
 
     def stream_seconds(self) -> float:
         """Return the seconds that a usual stream holds its slot in a full batch."""
-        passes = max(1.0, self.usual_output / self.stride)
+        passes = max(1.0, self.mean_output_tokens / self.stride)
         return passes * self.pass_seconds(self.slots) + self.usual_read
 
 
@@ -106,15 +108,17 @@
     """
     ahead = running + waiting + 1 - profile.slots
     slot_wait = max(0, ahead) * profile.stream_seconds() / profile.slots
-    unread = min(waiting, profile.slots)
-    own_read = prompt_tokens / profile.read_rate
-    started_pass = _MEAN_CHUNK_SHARE * profile.pass_seconds(min(running, profile.slots))
-    first_pass = profile.writing_seconds(min(running + 1, profile.slots))
+    unread_prompts = min(waiting, profile.slots)
+    own_prefill = prompt_tokens / profile.prefill_rate
+    current_pass = _MEAN_PASS_SHARE_LEFT * profile.pass_seconds(min(running, profile.slots))
+    first_pass = profile.decode_seconds(min(running + 1, profile.slots))
     if waiting_tokens is None:
-        others_read = unread * profile.usual_read
+        others_prefill = unread_prompts * profile.usual_read
     else:
-        others_read = waiting_tokens / profile.read_rate * unread / max(1.0, waiting)
-    between = profile.writing_seconds(min(running, profile.slots)) if running else 0.0
-    further_passes = int((others_read + own_read) * profile.read_rate / profile.chunk)
-    queued = slot_wait + started_pass + others_read + further_passes * between
-    return Prediction(queued=pace * queued, own=pace * (own_read + first_pass))
+        others_prefill = waiting_tokens / profile.prefill_rate * unread_prompts / max(1.0, waiting)
+    decode_between = profile.decode_seconds(min(running, profile.slots)) if running else 0.0
+    further_passes = int(
+        (others_prefill + own_prefill) * profile.prefill_rate / profile.prefill_chunk_tokens
+    )
+    queued = slot_wait + current_pass + others_prefill + further_passes * decode_between
+    return Prediction(queued=pace * queued, own=pace * (own_prefill + first_pass))
--- a/packages/wrenloft-policy/src/wrenloft_policy/_fetching.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_fetching.py
@@ -8,22 +8,22 @@
 """Time after which a chunk's turn passes to the next agent. An agent whose link is squeezed or
 that froze would otherwise hold up all others with the chunks that only it may fetch."""
 
-FEEDERS = 4
+ORIGIN_FETCHERS = 4
 """Agents that fetch from the origin at a time. Its link is twice as wide as a host's, so three fill
 it, and one more makes up for a slow one. It accepts few connections and resets those beyond."""
 
-CROSSING_SECONDS = 2.5
+REGION_TURN_SECONDS = 2.5
 """Time for which a chunk that only other regions hold is left to the agent whose turn it is. An
 agent brings a quarter of all chunks over in about that time."""
 
-IDLE_PATIENCE = 1.0
+IDLE_TIMEOUT_SECONDS = 1.0
 """Seconds without any chunk after which turns no longer count: better twice than never."""
 
-PATIENCE_STEP = 0.25
+ORIGIN_TIMEOUT_STEP_SECONDS = 0.25
 """Seconds by which each further agent waits longer before it asks the origin out of turn. All 33 at
 once, when it had been away, drew 35 chunks of which 17 were missing."""
 
-DRAIN_MARGIN = 1.2
+DRAIN_TIME_FACTOR = 1.2
 """Times of the seconds in which the origin's link carries a version, after which chunks that
 nobody holds are late. Counted from the beginning alone, turns passed on after 1.5 s and others
 helped after 1.0 s, while the feeders still had the chunks on their way: of the first 64 chunks that
@@ -38,53 +38,53 @@
 class ChunkSource:
     """Another agent as the fetcher sees it.
 
-    :param held: bit mask of the chunks that it holds.
+    :param chunk_bitmap: bit mask of the chunks that it holds.
     :param busy: chunks being fetched from it by this agent.
     :param near: whether it is in the same region.
     """
 
     address: str
-    held: int
+    chunk_bitmap: int
     busy: int
-    near: bool
+    same_region: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Pick:
+class ChunkFetch:
     """A chunk to fetch; ``address`` is ``None`` for the origin."""
 
     chunk: int
     address: str | None
 
 
-def rank_turn(chunk: int, members: Sequence[str], waited: float) -> str:
+def pick_region_fetcher(chunk: int, members: Sequence[str], waited: float) -> str:
     """Return whose turn it is to bring a chunk over, among members in a common order.
 
     :param waited: seconds for which the chunk could have been had.
     """
-    return members[(chunk + int(waited / CROSSING_SECONDS)) % len(members)]
+    return members[(chunk + int(waited / REGION_TURN_SECONDS)) % len(members)]
 
 
-def measure_lateness(age: float, stalled: float, drain_seconds: float) -> float:
+def compute_lateness(age: float, stalled: float, drain_seconds: float) -> float:
     """Return for how many seconds chunks that nobody holds have been late, 0 if they are not.
 
     :param age: seconds since the transfer began.
     :param stalled: seconds since a chunk that nobody had was first seen.
     :param drain_seconds: in which the origin's link carries a version.
     """
-    return max(0.0, age - DRAIN_MARGIN * drain_seconds, stalled - STALL_SECONDS)
+    return max(0.0, age - DRAIN_TIME_FACTOR * drain_seconds, stalled - STALL_SECONDS)
 
 
-def measure_origin_patience(rank: int) -> float:
+def compute_origin_timeout(rank: int) -> float:
     """Return the seconds without a chunk after which an agent asks the origin out of turn.
 
     :param rank: its place in the common order, those of the origin's region first.
     """
-    return IDLE_PATIENCE + PATIENCE_STEP * rank
+    return IDLE_TIMEOUT_SECONDS + ORIGIN_TIMEOUT_STEP_SECONDS * rank
 
 
-def list_feeders(
-    members: Sequence[str], late: float, turn: float = TURN_SECONDS, count: int = FEEDERS
+def list_origin_fetchers(
+    members: Sequence[str], late: float, turn: float = TURN_SECONDS, count: int = ORIGIN_FETCHERS
 ) -> list[str]:
     """Return the agents among which chunks to fetch from the origin are shared out now.
 
@@ -109,18 +109,18 @@
     missing: Sequence[int],
     sources: Sequence[ChunkSource],
     own_address: str,
-    list_carriers: Callable[[int], Sequence[str]],
-    list_feeders: Callable[[int], Sequence[str]],
-    may_cross: Callable[[int], bool],
+    list_region_fetchers: Callable[[int], Sequence[str]],
+    list_origin_fetchers: Callable[[int], Sequence[str]],
+    can_cross: Callable[[int], bool],
     waited: Mapping[int, float],
     idle: float,
     origin_free: bool,
     origin_first: bool,
     origin_repeats: bool,
     random: Random,
-    busy_limit: int,
-    origin_patience: float = IDLE_PATIENCE,
-) -> Pick | None:
+    max_busy: int,
+    origin_timeout: float = IDLE_TIMEOUT_SECONDS,
+) -> ChunkFetch | None:
     """Choose the next chunk to fetch.
 
     First a chunk that nobody holds and whose turn at the origin is this agent's, then one that
@@ -131,10 +131,10 @@
     between regions, more than once.
 
     :param missing: chunks neither held nor being fetched.
-    :param list_carriers: returns the agents of this region among which a chunk's turns to cross
+    :param list_region_fetchers: returns the agents of this region among which a chunk's turns to cross
         go, in the same order everywhere.
-    :param list_feeders: returns the agents that may fetch a chunk from the origin now.
-    :param may_cross: tells whether a chunk may be brought over already.
+    :param list_origin_fetchers: returns the agents that may fetch a chunk from the origin now.
+    :param can_cross: tells whether a chunk may be brought over already.
     :param waited: seconds for which each chunk has been held elsewhere.
     :param idle: seconds since a chunk last came.
     :param origin_free: whether another fetch from the origin may start.
@@ -142,52 +142,57 @@
         turn there have not left it. The origin may go away at any moment: shared with neighbours'
         chunks, three feeders took 21 chunks a second of 37 that its link gives, and 14 of 64 were
         missing to everybody when it went away 2.3 s after the naming.
-    :param origin_patience: seconds without a chunk after which turns at the origin no longer count.
+    :param origin_timeout: seconds without a chunk after which turns at the origin no longer count.
     :param origin_repeats: whether that may be a chunk that others hold, but fewer than half of
         them. The uplinks of the origin's region carry every chunk to the other regions besides
         their own, and bind; an agent that joins finds enough holders without the origin.
     """
-    counts = {chunk: sum(each.held >> chunk & 1 for each in sources) for chunk in missing}
-    near_held = _join_masks(each for each in sources if each.near)
-    impatient = idle > IDLE_PATIENCE
-    unheld = [chunk for chunk in missing if not counts[chunk]]
-    mine = [chunk for chunk in unheld if _pick_feeder(chunk, list_feeders(chunk)) == own_address]
-    if mine and origin_first and not origin_free:
+    counts = {chunk: sum(each.chunk_bitmap >> chunk & 1 for each in sources) for chunk in missing}
+    near_bitmap = _merge_bitmaps(each for each in sources if each.same_region)
+    idle_too_long = idle > IDLE_TIMEOUT_SECONDS
+    unstored = [chunk for chunk in missing if not counts[chunk]]
+    own_turn = [
+        chunk
+        for chunk in unstored
+        if _pick_origin_fetcher(chunk, list_origin_fetchers(chunk)) == own_address
+    ]
+    if own_turn and origin_first and not origin_free:
         return None
     if origin_free:
-        if mine or (idle > origin_patience and unheld):
-            return Pick(random.choice(mine or unheld), None)
+        if own_turn or (idle > origin_timeout and unstored):
+            return ChunkFetch(random.choice(own_turn or unstored), None)
         rare = [chunk for chunk in missing if counts[chunk] < len(sources) / 2]
-        if origin_repeats and rare and not unheld:
-            return Pick(min(rare, key=lambda each: (counts[each], random.random())), None)
-    far = [each for each in sources if not each.near and each.busy < busy_limit]
+        if origin_repeats and rare and not unstored:
+            return ChunkFetch(min(rare, key=lambda each: (counts[each], random.random())), None)
+    far = [each for each in sources if not each.same_region and each.busy < max_busy]
     crossing = [
         chunk
         for chunk in missing
         if counts[chunk]
-        and not near_held >> chunk & 1
-        and may_cross(chunk)
+        and not near_bitmap >> chunk & 1
+        and can_cross(chunk)
         and (
-            impatient
-            or rank_turn(chunk, list_carriers(chunk), waited.get(chunk, 0.0)) == own_address
+            idle_too_long
+            or pick_region_fetcher(chunk, list_region_fetchers(chunk), waited.get(chunk, 0.0))
+            == own_address
         )
     ]
-    near = [each for each in sources if each.near and each.busy < busy_limit]
+    near = [each for each in sources if each.same_region and each.busy < max_busy]
     found = _pick_from(crossing, far, counts, random) or _pick_from(missing, near, counts, random)
-    if found is None and origin_free and idle > IDLE_PATIENCE + origin_patience and missing:
-        return Pick(random.choice(missing), None)
+    if found is None and origin_free and idle > IDLE_TIMEOUT_SECONDS + origin_timeout and missing:
+        return ChunkFetch(random.choice(missing), None)
     return found
 
 
-def _pick_feeder(chunk: int, feeders: Sequence[str]) -> str:
-    return feeders[chunk % len(feeders)]
+def _pick_origin_fetcher(chunk: int, fetchers: Sequence[str]) -> str:
+    return fetchers[chunk % len(fetchers)]
 
 
-def _join_masks(sources: Iterable[ChunkSource]) -> int:
-    mask = 0
+def _merge_bitmaps(sources: Iterable[ChunkSource]) -> int:
+    bitmap = 0
     for source in sources:
-        mask |= source.held
-    return mask
+        bitmap |= source.chunk_bitmap
+    return bitmap
 
 
 def _pick_from(
@@ -195,12 +200,12 @@
     sources: Sequence[ChunkSource],
     counts: Mapping[int, int],
     random: Random,
-) -> Pick | None:
-    reachable = _join_masks(sources)
-    able = [chunk for chunk in chunks if reachable >> chunk & 1]
-    if not able:
+) -> ChunkFetch | None:
+    reachable = _merge_bitmaps(sources)
+    eligible = [chunk for chunk in chunks if reachable >> chunk & 1]
+    if not eligible:
         return None
-    chunk = min(able, key=lambda each: (counts[each], random.random()))
-    holders = [each for each in sources if each.held >> chunk & 1]
+    chunk = min(eligible, key=lambda each: (counts[each], random.random()))
+    holders = [each for each in sources if each.chunk_bitmap >> chunk & 1]
     source = min(holders, key=lambda each: (each.busy, random.random()))
-    return Pick(chunk, source.address)
+    return ChunkFetch(chunk, source.address)
--- a/packages/wrenloft-policy/src/wrenloft_policy/_layers.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_layers.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from random import Random
 
-PARTS = 2
+PART_COUNT = 2
 """Parts into which a model is split for its first load. A host's link takes 5.2 s for a whole
 version and 2.6 s for half of one, which is also what the origin's link needs to give out one copy:
 more parts would wait for the origin."""
@@ -17,12 +17,12 @@
     start: int
     stop: int
 
-    def holds(self, other: "LayerSpan") -> bool:
+    def contains(self, other: "LayerSpan") -> bool:
         """Tell whether every layer of another span is in this one."""
         return self.start <= other.start and other.stop <= self.stop
 
 
-EVERY_LAYER = LayerSpan(0, 1 << 30)
+ALL_LAYERS = LayerSpan(0, 1 << 30)
 """All layers of a model whose number of layers is not stated."""
 
 
@@ -52,19 +52,19 @@
 
 def split_layers(layers: int) -> list[LayerSpan]:
     """Return the parts of a model, in order; one part if it cannot be split."""
-    parts = min(PARTS, max(1, layers))
+    parts = min(PART_COUNT, max(1, layers))
     bounds = [layers * index // parts for index in range(parts + 1)]
     return [LayerSpan(bounds[index], bounds[index + 1]) for index in range(parts)]
 
 
-def pick_parts(members: Sequence[str], parts: int) -> dict[str, int]:
+def assign_parts(members: Sequence[str], parts: int) -> dict[str, int]:
     """Return which part each member loads first: neighbours in the common order take turns."""
     return {member: index % parts for index, member in enumerate(sorted(members))}
 
 
 def list_span_chunks(span: LayerSpan, layers: int, chunks: int) -> range:
     """Return the chunks that a span of layers needs; neighbouring spans may share one."""
-    if span.holds(LayerSpan(0, layers)):
+    if span.contains(LayerSpan(0, layers)):
         return range(chunks)
     return range(span.start * chunks // layers, -(-span.stop * chunks // layers))
 
@@ -85,15 +85,15 @@
     chain = [ChainPart(first.key, LayerSpan(0, min(first.span.stop, layers)))]
     while (at := chain[-1].span.stop) < layers:
         used = {each.key for each in chain}
-        able = [
+        eligible = [
             each
             for each in others
             if each.key not in used and each.span.start <= at < each.span.stop
         ]
-        if not able:
+        if not eligible:
             return None
         best = min(
-            able,
+            eligible,
             key=lambda each: (
                 each.distance,
                 each.span.start == 0,
--- a/packages/wrenloft-policy/src/wrenloft_policy/_ownership.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_ownership.py
@@ -7,7 +7,7 @@
 
 from wrenloft_core import NodeId, ShardNumber
 
-_MARGIN = 0.15
+_CLOCK_DRIFT_MARGIN = 0.15
 
 
 def rank_owners(shard: ShardNumber, nodes: Iterable[NodeId]) -> list[NodeId]:
@@ -43,8 +43,8 @@
     @property
     def deadline(self) -> float:
         """Monotonic time after which nothing may be done under the lease."""
-        return self.sent_at + self.seconds * (1.0 - _MARGIN)
+        return self.sent_at + self.seconds * (1.0 - _CLOCK_DRIFT_MARGIN)
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Tell whether the lease may be relied on at ``now``."""
         return now < self.deadline
--- a/packages/wrenloft-policy/src/wrenloft_policy/_placement.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_placement.py
@@ -14,8 +14,8 @@
     """What is known of one host, for placement.
 
     :param serves: whether it serves any version of the model now.
-    :param held: part of the wanted version's chunks that it holds, 0 to 1.
-    :param others: how many other models it carries.
+    :param stored_share: part of the wanted version's chunks that it holds, 0 to 1.
+    :param other_models: how many other models it carries.
     """
 
     agent_id: AgentId
@@ -23,12 +23,12 @@
     labels: Mapping[str, str]
     leaving: bool = False
     serves: bool = False
-    held: float = 0.0
-    others: int = 0
+    stored_share: float = 0.0
+    other_models: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class Placement:
     """A host and why it was chosen."""
 
     agent_id: AgentId
@@ -42,7 +42,7 @@
 
 def choose_hosts(
     model: ModelName, selector: Selector, replicas: int, hosts: Sequence[Host]
-) -> list[Placed]:
+) -> list[Placement]:
     """Choose the hosts of a model, one at a time.
 
     Each next host comes from the place with the fewest so far; within a place those that serve
@@ -51,11 +51,11 @@
     allowed = [each for each in hosts if not each.leaving and matches(selector, each.labels)]
     remaining = {each.agent_id: each for each in allowed}
     by_place: Counter[PlaceName] = Counter()
-    placed: list[Placed] = []
+    placed: list[Placement] = []
     while remaining and len(placed) < replicas:
         best = min(remaining.values(), key=lambda each: _rank(model, each, by_place))
         del remaining[best.agent_id]
-        placed.append(Placed(best.agent_id, _explain(best, by_place, len(allowed))))
+        placed.append(Placement(best.agent_id, _explain(best, by_place, len(allowed))))
         by_place[best.place] += 1
     return placed
 
@@ -64,9 +64,9 @@
     model: ModelName, host: Host, by_place: Counter[PlaceName]
 ) -> tuple[int, bool, float, int, bytes]:
     tie = blake3(f"{model}/{host.agent_id}".encode()).digest(8)
-    return by_place[host.place], not host.serves, -host.held, host.others, tie
+    return by_place[host.place], not host.serves, -host.stored_share, host.other_models, tie
 
 
 def _explain(host: Host, by_place: Counter[PlaceName], allowed: int) -> str:
-    kept = "serves it already" if host.serves else f"holds {host.held:.0%}"
+    kept = "serves it already" if host.serves else f"holds {host.stored_share:.0%}"
     return f"{kept}; {by_place[host.place]} before it in {host.place}; {allowed} hosts allowed"
--- a/packages/wrenloft-policy/src/wrenloft_policy/_relays.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_relays.py
@@ -6,17 +6,17 @@
 
 from blake3 import blake3
 
-STALE_FACTOR = 1.6
+STALE_INTERVALS = 1.6
 """Age of a reading, in intervals, at which the second place's relay reads the store itself. The
 first may be cut off from the store, slow or dead. A reading is up to 1.3 intervals old when it
 arrives; a configuration must be in force within 2.5."""
 
-TAKE_OVER_STEP = 0.05
-TAKE_OVER_LATEST = 1.8
+TAKEOVER_STEP = 0.05
+MAX_STALE_INTERVALS = 1.8
 """Intervals by which each further place waits longer, so that they don't all read at once, and
 longest patience of all: with two relays cut off, the third still has time to read and to tell."""
 
-SELF_READ_SECONDS = 1.0
+DIRECT_READ_SECONDS = 1.0
 """For each node of a zone, the mean time between two reads of the store by a node that is not its
 zone's relay, while no relay has a fresh reading: one call a second and zone in all."""
 
@@ -25,10 +25,10 @@
 each hears of the others every 0.025 s, with 20 every 0.125 s, a quarter of a first event's aim or
 less. At 250 the relay of 13 nodes used 0.23 of a core, three times what the others did."""
 
-LEAST_FRAME_SECONDS = 0.025
+MIN_FRAME_SECONDS = 0.025
 """Shortest time between two frames: a tenth of what an engine takes to a first event."""
 
-LONGEST_FRAME_SECONDS = 0.4
+MAX_FRAME_SECONDS = 0.4
 """Longest time between two frames: followers take a relay for dead after 0.6 s. Reached at 64
 followers, twice the nodes of a zone at the size that is built towards."""
 
@@ -37,11 +37,11 @@
 class RelayCandidate:
     """A node that can relay.
 
-    :param strength: processor time that it has, in cores.
+    :param cores: processor time that it has, in cores.
     """
 
     node_id: str
-    strength: float
+    cores: float
 
 
 def rank_relays(candidates: Sequence[RelayCandidate]) -> list[str]:
@@ -52,44 +52,44 @@
     """
 
     def rank(each: RelayCandidate) -> tuple[float, bytes]:
-        return -each.strength, blake3(each.node_id.encode()).digest(8)
+        return -each.cores, blake3(each.node_id.encode()).digest(8)
 
     return [each.node_id for each in sorted(candidates, key=rank)]
 
 
 def assign_places(
-    wanted: Sequence[str], relayed: Sequence[str], regions: Mapping[str, str]
+    agent_zones: Sequence[str], relay_zones: Sequence[str], regions: Mapping[str, str]
 ) -> dict[str, str]:
     """Return which zone's relay follows the agents of each zone.
 
     A zone without a live entry node is followed from another one, of its region if there is one:
     its engines still serve, and nobody there would tell of them.
 
-    :param wanted: zones with agents.
-    :param relayed: zones with a live entry node.
+    :param agent_zones: zones with agents.
+    :param relay_zones: zones with a live entry node.
     """
     assigned = {}
-    for place in wanted:
-        if place in relayed:
+    for place in agent_zones:
+        if place in relay_zones:
             assigned[place] = place
             continue
-        near = [each for each in relayed if regions.get(each) == regions.get(place)]
-        among = sorted(near or relayed)
-        if among:
+        same_region = [each for each in relay_zones if regions.get(each) == regions.get(place)]
+        choices = sorted(same_region or relay_zones)
+        if choices:
             digest = blake3(place.encode()).digest(4)
-            assigned[place] = among[int.from_bytes(digest) % len(among)]
+            assigned[place] = choices[int.from_bytes(digest) % len(choices)]
     return assigned
 
 
-def measure_frame_interval(followers: int) -> float:
+def compute_frame_interval(subscribers: int) -> float:
     """Return the seconds between two frames to each follower.
 
-    :param followers: how many a relay sends to.
+    :param subscribers: how many a relay sends to.
     """
-    return min(LONGEST_FRAME_SECONDS, max(LEAST_FRAME_SECONDS, followers / FRAMES_PER_SECOND))
+    return min(MAX_FRAME_SECONDS, max(MIN_FRAME_SECONDS, subscribers / FRAMES_PER_SECOND))
 
 
-def measure_read_patience(interval: float, place_rank: int | None) -> float:
+def compute_max_snapshot_age(interval: float, place_rank: int | None) -> float:
     """Return the age of a reading at which a node reads the store itself.
 
     One relay of all reads; the others are passed its readings and take over in turn.
@@ -102,4 +102,4 @@
         return inf
     if place_rank == 0:
         return interval
-    return interval * min(TAKE_OVER_LATEST, STALE_FACTOR + TAKE_OVER_STEP * (place_rank - 1))
+    return interval * min(MAX_STALE_INTERVALS, STALE_INTERVALS + TAKEOVER_STEP * (place_rank - 1))
--- a/packages/wrenloft-policy/src/wrenloft_policy/_retry.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_retry.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-_BACKOFF_BASE = 0.02
-_BACKOFF_CAP = 1.0
+_BACKOFF_BASE_SECONDS = 0.02
+_BACKOFF_CAP_SECONDS = 1.0
 
 
 class RetryBudget:
@@ -15,27 +15,29 @@
 
     :param now: monotonic time, in seconds.
     :param ratio: further attempts earned by each first attempt.
-    :param trickle: further attempts earned each second.
-    :param reserve: most that can be saved, and what it begins with.
+    :param deposit_rate: further attempts earned each second.
+    :param max_tokens: most that can be saved, and what it begins with.
     """
 
     def __init__(
-        self, now: float, ratio: float = 0.1, trickle: float = 0.2, reserve: float = 10.0
+        self, now: float, ratio: float = 0.1, deposit_rate: float = 0.2, max_tokens: float = 10.0
     ) -> None:
         self._ratio = ratio
-        self._trickle = trickle
-        self._reserve = reserve
-        self._tokens = reserve
-        self._at = now
+        self._deposit_rate = deposit_rate
+        self._max_tokens = max_tokens
+        self._tokens = max_tokens
+        self._updated_at = now
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Count one first attempt."""
-        self._tokens = min(self._reserve, self._tokens + self._ratio)
+        self._tokens = min(self._max_tokens, self._tokens + self._ratio)
 
-    def spend(self, now: float) -> bool:
+    def withdraw(self, now: float) -> bool:
         """Take one further attempt, if the budget allows it."""
-        self._tokens = min(self._reserve, self._tokens + (now - self._at) * self._trickle)
-        self._at = now
+        self._tokens = min(
+            self._max_tokens, self._tokens + (now - self._updated_at) * self._deposit_rate
+        )
+        self._updated_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -44,4 +46,4 @@
 
 def pick_backoff(attempt: int, random: Random) -> float:
     """Return seconds to wait before attempt number ``attempt``, with full jitter."""
-    return random.uniform(0.0, min(_BACKOFF_CAP, _BACKOFF_BASE * 2**attempt))
+    return random.uniform(0.0, min(_BACKOFF_CAP_SECONDS, _BACKOFF_BASE_SECONDS * 2**attempt))
--- a/packages/wrenloft-policy/src/wrenloft_policy/_runners.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_runners.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
+class RunnerCandidate:
     """What a node knows of one runner that could take a request.
 
     :param capacity: requests that the runner works on at once.
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weights:
+class ScoreWeights:
     """How much each hint counts, in units of a runner's whole capacity."""
 
     other_place: float = 0.05
@@ -41,18 +41,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Chosen:
+class RunnerChoice:
     """A runner and why it was taken."""
 
     agent_id: AgentId
     reason: str
 
 
-DEFAULT_WEIGHTS = Weights()
-_SLOW_START_FLOOR = 0.1
+DEFAULT_WEIGHTS = ScoreWeights()
+_MIN_WARMTH = 0.1
 
 
-def estimate_load(candidate: Candidate) -> int:
+def estimate_load(candidate: RunnerCandidate) -> int:
     """Estimate the requests at a runner now.
 
     A report is up to a second old. Without the requests sent since, every node sends its whole
@@ -62,10 +62,13 @@
 
 
 def score(
-    candidate: Candidate, place: PlaceName, region: RegionName, weights: Weights = DEFAULT_WEIGHTS
+    candidate: RunnerCandidate,
+    place: PlaceName,
+    region: RegionName,
+    weights: ScoreWeights = DEFAULT_WEIGHTS,
 ) -> float:
     """Return how loaded a candidate is, in units of its capacity; lower is better."""
-    warmth = min(1.0, max(_SLOW_START_FLOOR, candidate.ready_seconds / weights.slow_start))
+    warmth = min(1.0, max(_MIN_WARMTH, candidate.ready_seconds / weights.slow_start))
     result = (estimate_load(candidate) + 1) / (max(1, candidate.capacity) * warmth)
     if candidate.region != region:
         result += weights.other_region
@@ -77,12 +80,12 @@
 
 
 def choose_runner(
-    candidates: Sequence[Candidate],
+    candidates: Sequence[RunnerCandidate],
     place: PlaceName,
     region: RegionName,
     random: Random,
-    weights: Weights = DEFAULT_WEIGHTS,
-) -> Chosen | None:
+    weights: ScoreWeights = DEFAULT_WEIGHTS,
+) -> RunnerChoice | None:
     """Take the better of two random candidates.
 
     :returns: ``None`` if there are no candidates.
@@ -93,17 +96,17 @@
     scores = {each.agent_id: score(each, place, region, weights) for each in pair}
     best = min(pair, key=lambda each: scores[each.agent_id])
     compared = ", ".join(f"{agent}={value:.2f}" for agent, value in scores.items())
-    return Chosen(best.agent_id, f"lowest score of {compared}")
+    return RunnerChoice(best.agent_id, f"lowest score of {compared}")
 
 
-def choose_random(candidates: Sequence[Candidate], random: Random) -> Chosen | None:
+def choose_random(candidates: Sequence[RunnerCandidate], random: Random) -> RunnerChoice | None:
     """Take any candidate: a baseline for measurements."""
-    return Chosen(random.choice(candidates).agent_id, "random") if candidates else None
+    return RunnerChoice(random.choice(candidates).agent_id, "random") if candidates else None
 
 
-def choose_least_reported(candidates: Sequence[Candidate]) -> Chosen | None:
+def choose_least_reported(candidates: Sequence[RunnerCandidate]) -> RunnerChoice | None:
     """Take the lowest reported load: a baseline for measurements."""
     if not candidates:
         return None
     best = min(candidates, key=lambda each: each.reported / max(1, each.capacity))
-    return Chosen(best.agent_id, "least reported load")
+    return RunnerChoice(best.agent_id, "least reported load")
--- a/packages/wrenloft-policy/src/wrenloft_policy/_swarm.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_swarm.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class NeighbourSource:
     """A neighbour as the fetcher sees it.
 
     :param busy: chunks being fetched from it.
@@ -33,7 +33,7 @@
     """
 
     agent_id: AgentId
-    held: Collection[int]
+    stored_chunks: Collection[int]
     busy: int
     distance: int
 
@@ -105,7 +105,7 @@
 
 
 def choose_chunk(
-    missing: Sequence[int], sources: Sequence[Source], random: Random, busy_limit: int
+    missing: Sequence[int], sources: Sequence[NeighbourSource], random: Random, max_busy: int
 ) -> tuple[int, AgentId] | None:
     """Choose the next chunk to fetch and whom to ask: the rarest, from the idlest, near first.
 
@@ -114,14 +114,14 @@
 
     :returns: ``None`` if nothing that is missing can be had now.
     """
-    free = [each for each in sources if each.busy < busy_limit]
+    free = [each for each in sources if each.busy < max_busy]
     if not free:
         return None
     sample = missing if len(missing) <= _SAMPLE else random.sample(missing, _SAMPLE)
     best: tuple[tuple[int, float], int] | None = None
     for chunk in sample:
-        holders = sum(chunk in each.held for each in sources)
-        if not any(chunk in each.held for each in free):
+        holders = sum(chunk in each.stored_chunks for each in sources)
+        if not any(chunk in each.stored_chunks for each in free):
             continue
         rank = (holders, random.random())
         if best is None or rank < best[0]:
@@ -129,6 +129,6 @@
     if best is None:
         return None
     chunk = best[1]
-    able = [each for each in free if chunk in each.held]
-    source = min(able, key=lambda each: (each.busy, each.distance, random.random()))
+    eligible = [each for each in free if chunk in each.stored_chunks]
+    source = min(eligible, key=lambda each: (each.busy, each.distance, random.random()))
     return chunk, source.agent_id
--- a/packages/wrenloft-policy/src/wrenloft_policy/_versions.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_versions.py
@@ -2,32 +2,32 @@
 
 from dataclasses import dataclass
 
-LINK_SHARE = 0.82
+USABLE_LINK_SHARE = 0.82
 """Part of a link's rate that chunks reach: what agents send is paced at that."""
 
-START_SECONDS = 0.8
+FETCH_START_SECONDS = 0.8
 """From naming a version until chunks come at the full rate, with four feeders at the origin."""
 
 INSTALL_SECONDS = 0.8
 """From the last chunk until the engine serves: staging, reading back, the end of its streams."""
 
-BEGIN_SECONDS = 0.5
+REQUEST_START_SECONDS = 0.5
 """Time that a request may take from this node until it begins at an endpoint: it is sent only if
 its first event is predicted within half a second, and given up if it has not begun in time."""
 
 SWAP_GROUPS = 2
 """Groups of engines that go on to a new version one after the other."""
 
-SWAP_GAP_SECONDS = 1.2
+MIN_SWAP_SPREAD_SECONDS = 1.2
 """Least time over which engines go on one after the other, if the deadline leaves it. An engine
 takes nothing new from its order until its last stream has ended and its layers are loaded: 0.4 to
 1.5 s at half load, read off a calm day's reports."""
 
-SWAP_LATEST_SECONDS = 2.6
+SWAP_LEAD_SECONDS = 2.6
 """Before the deadline, by which every engine is ordered: a stream may run for 1.5 s more, and
-requests insist on the new version ``BEGIN_SECONDS`` before the deadline."""
+requests insist on the new version ``REQUEST_START_SECONDS`` before the deadline."""
 
-LATE_SECONDS = 1.2
+WHOLE_FETCH_GRACE_SECONDS = 1.2
 """How long after its deadline a whole version may come before it is fetched in parts. Below that,
 chains would serve for less time than it takes to load twice."""
 
@@ -68,17 +68,17 @@
     """
     if current.number >= newest.number:
         return current.number
-    fetch = total_bytes / (link_rate * LINK_SHARE) + START_SECONDS
+    fetch = total_bytes / (link_rate * USABLE_LINK_SHARE) + FETCH_START_SECONDS
     gap = newest.seen_at - current.seen_at
     return current.number if gap > fetch / 2 else newest.number
 
 
-def must_insist(wanted: WantedVersion, allowed: float, now: float) -> bool:
+def is_version_required(wanted: WantedVersion, allowed: float, now: float) -> bool:
     """Tell whether requests may begin on this version only."""
-    return now >= wanted.seen_at + allowed - BEGIN_SECONDS
+    return now >= wanted.seen_at + allowed - REQUEST_START_SECONDS
 
 
-def pick_turn(index: int, count: int) -> float:
+def compute_swap_turn(index: int, count: int) -> float:
     """Return when an engine's turn to go on is, from 0 for the first to nearly 1 for the last.
 
     Engines of the first group, which are sent chunks first, come before those of the second.
@@ -89,13 +89,13 @@
     return index % SWAP_GROUPS / SWAP_GROUPS + index // SWAP_GROUPS / max(1, count)
 
 
-def predict_first_whole(named_at: float, total_bytes: float, link_rate: float) -> float:
+def predict_first_complete(named_at: float, total_bytes: float, link_rate: float) -> float:
     """Return when the engines that are sent chunks first have a version, at the earliest.
 
     :param total_bytes: bytes of the version.
     :param link_rate: bytes a second of a host's link.
     """
-    return named_at + START_SECONDS + total_bytes / link_rate
+    return named_at + FETCH_START_SECONDS + total_bytes / link_rate
 
 
 def pick_swap_time(
@@ -113,12 +113,14 @@
     :param first_at: when the first engines are ready, if not when this one is: engines that are
         ready at different times keep to one order.
     """
-    latest = named_at + allowed - SWAP_LATEST_SECONDS
+    latest = named_at + allowed - SWAP_LEAD_SECONDS
     start = ready_at if first_at is None else min(first_at, ready_at)
-    return max(ready_at, min(start + turn * max(SWAP_GAP_SECONDS, latest - start), latest))
+    return max(ready_at, min(start + turn * max(MIN_SWAP_SPREAD_SECONDS, latest - start), latest))
 
 
-def is_whole_late(wanted: WantedVersion, allowed: float, now: float, fetch_seconds: float) -> bool:
+def should_fetch_parts(
+    wanted: WantedVersion, allowed: float, now: float, fetch_seconds: float
+) -> bool:
     """Tell whether a whole version would come so late that it is fetched in parts.
 
     Answers a version whose origin is away for seconds, and one named while another is fetched.
@@ -126,10 +128,10 @@
     :param allowed: seconds from the naming until requests begin on it only.
     :param fetch_seconds: time to fetch what is missing at the full rate.
     """
-    return now + fetch_seconds > wanted.seen_at + allowed + LATE_SECONDS
+    return now + fetch_seconds > wanted.seen_at + allowed + WHOLE_FETCH_GRACE_SECONDS
 
 
-def must_load_part(wanted: WantedVersion, allowed: float, now: float) -> bool:
+def should_load_part(wanted: WantedVersion, allowed: float, now: float) -> bool:
     """Tell whether an engine loads only the first part of a version.
 
     Engines in chains take about half of the requests that they take whole, and drop out of an
--- a/packages/wrenloft-policy/tests/test_endpoints.py
+++ b/packages/wrenloft-policy/tests/test_endpoints.py
@@ -7,22 +7,22 @@
 from hypothesis import strategies as st
 
 from wrenloft_policy import (
-    AIM_SHARE_MOST,
-    URGENCIES,
+    MAX_OBJECTIVE_SHARE,
+    URGENCY_LEVELS,
     EndpointLoad,
     EngineProfile,
     Verdict,
-    adjust_aim_share,
+    adjust_objective_share,
     choose_endpoint,
-    count_room,
-    count_seconds,
-    decide_turn,
-    estimate_spent,
-    estimate_unseen,
-    pick_return,
+    compute_objective_seconds,
+    compute_send_probability,
+    count_spare_slots,
+    decide_dispatch,
+    estimate_elapsed,
+    estimate_unreported,
+    pick_retry_after,
     predict_first_event,
     rank_urgency,
-    share_room,
 )
 
 PROFILE = EngineProfile(16, 5, 0.00887, 0.0000388, 19100.0, 2048, 977, 94)
@@ -93,86 +93,86 @@
 
 
 class TestDecideTurn:
-    """Tests for ``decide_turn``."""
+    """Tests for ``decide_dispatch``."""
 
     def test_fresh_request_is_held_while_it_can_be_in_time(self) -> None:
         """Every engine is full for a moment; one that became free would serve it in 0.1 s.
 
         Refused at once, its caller comes back late, and the free place goes to a late request.
         """
-        full = {"aim": 0.4, "left": 6.0, "limited": True, "least": 0.1}
-        assert decide_turn(0.9, 0.2, **full) is Verdict.HOLD
-        assert decide_turn(0.9, 0.3, **full) is Verdict.REFUSE
+        full = {"latency_objective": 0.4, "time_left": 6.0, "limited": True, "idle_seconds": 0.1}
+        assert decide_dispatch(0.9, 0.2, **full) is Verdict.QUEUE
+        assert decide_dispatch(0.9, 0.3, **full) is Verdict.REFUSE
 
     def test_overload_holds_a_moment_then_refuses(self) -> None:
         """With nothing free in time, a request waits a tenth of its aim and is then refused."""
-        assert decide_turn(0.9, 0.01, 0.4, 6.0, limited=True) is Verdict.HOLD
-        assert decide_turn(0.9, 0.06, 0.4, 6.0, limited=True) is Verdict.REFUSE
+        assert decide_dispatch(0.9, 0.01, 0.4, 6.0, limited=True) is Verdict.QUEUE
+        assert decide_dispatch(0.9, 0.06, 0.4, 6.0, limited=True) is Verdict.REFUSE
 
     def test_plain_service_sends_what_can_still_be_answered(self) -> None:
         """Where capacity is not scarce, late is better than refused."""
-        assert decide_turn(0.5, 0.1, 0.1, 0.9, limited=False) is Verdict.SEND
-        assert decide_turn(2.0, 0.1, 0.1, 0.9, limited=False) is Verdict.REFUSE
+        assert decide_dispatch(0.5, 0.1, 0.1, 0.9, limited=False) is Verdict.SEND
+        assert decide_dispatch(2.0, 0.1, 0.1, 0.9, limited=False) is Verdict.REFUSE
 
     def test_late_returns_use_spare_room_only(self) -> None:
         """A caller refused before is late already: it waits for room that nobody else needs."""
-        busy = decide_turn(0.3, 1.0, 0.4, 4.0, limited=True, spent=1.0)
-        spare = decide_turn(0.1, 1.0, 0.4, 4.0, limited=True, spent=1.0)
-        waited = decide_turn(0.3, 2.5, 0.4, 4.0, limited=True, spent=1.0)
-        assert (busy, spare, waited) == (Verdict.HOLD, Verdict.SEND, Verdict.REFUSE)
+        busy = decide_dispatch(0.3, 1.0, 0.4, 4.0, limited=True, elapsed_before=1.0)
+        spare = decide_dispatch(0.1, 1.0, 0.4, 4.0, limited=True, elapsed_before=1.0)
+        waited = decide_dispatch(0.3, 2.5, 0.4, 4.0, limited=True, elapsed_before=1.0)
+        assert (busy, spare, waited) == (Verdict.QUEUE, Verdict.SEND, Verdict.REFUSE)
 
     def test_large_prompts_queue_as_long_as_others(self) -> None:
         """Under load the largest prompts are let in where a usual one is.
 
         Their own reading takes half of the aim; counted in full they would never find room.
         """
-        usual = count_seconds(predict_first_event(PROFILE, 10, 0, 977), PROFILE)
-        large = count_seconds(predict_first_event(PROFILE, 10, 0, 3880), PROFILE)
+        usual = compute_objective_seconds(predict_first_event(PROFILE, 10, 0, 977), PROFILE)
+        large = compute_objective_seconds(predict_first_event(PROFILE, 10, 0, 3880), PROFILE)
         assert large - usual < 0.1
 
     def test_late_first_events_lower_what_is_let_in(self) -> None:
         """A few late first events make a node stricter, a calm while lets it open again."""
-        share = AIM_SHARE_MOST
+        share = MAX_OBJECTIVE_SHARE
         for _ in range(10):
-            share = adjust_aim_share(share, in_time=False)
+            share = adjust_objective_share(share, in_time=False)
         strict = share
         for _ in range(60):
-            share = adjust_aim_share(share, in_time=True)
-        assert strict < 0.6 * AIM_SHARE_MOST
-        assert share == AIM_SHARE_MOST
+            share = adjust_objective_share(share, in_time=True)
+        assert strict < 0.6 * MAX_OBJECTIVE_SHARE
+        assert share == MAX_OBJECTIVE_SHARE
 
 
 class TestCountRoom:
-    """Tests for ``count_room``."""
+    """Tests for ``count_spare_slots``."""
 
     def test_idle_engine_has_room_for_several(self) -> None:
         """Each request that is sent delays the next by the reading of its prompt."""
-        assert 3 <= count_room(_load("a"), PROFILE, 0.36) <= 8
+        assert 3 <= count_spare_slots(_load("a"), PROFILE, 0.36) <= 8
 
     def test_full_engine_has_none(self) -> None:
         """One that could not start the next in time counts for nothing, and not below it."""
-        assert count_room(_load("a", running=30), PROFILE, 0.36) == 0
+        assert count_spare_slots(_load("a", running=30), PROFILE, 0.36) == 0
 
 
 class TestShareRoom:
-    """Tests for ``share_room``."""
+    """Tests for ``compute_send_probability``."""
 
     @given(st.integers(0, 200), st.integers(1, 200), st.integers(1, 200))
     def test_about_as_many_go_as_there_is_room(self, room: int, fresh: int, late: int) -> None:
         """Summed over all that wait, the chances never come to more than the room."""
-        chance = share_room(room, fresh, late, late_ask=False)
-        late_chance = share_room(room, fresh, late, late_ask=True)
+        chance = compute_send_probability(room, fresh, late, for_overdue=False)
+        late_chance = compute_send_probability(room, fresh, late, for_overdue=True)
         expected = fresh * min(1.0, chance) + late * min(1.0, late_chance)
         assert expected <= room + 1e-6
 
     def test_late_requests_take_what_is_left_over(self) -> None:
         """While those that can be in time fill the room, late ones wait."""
-        assert share_room(5, 5, 3, late_ask=True) == 0.0
-        assert share_room(8, 5, 3, late_ask=True) == 1.0
+        assert compute_send_probability(5, 5, 3, for_overdue=True) == 0.0
+        assert compute_send_probability(8, 5, 3, for_overdue=True) == 1.0
 
 
 class TestEstimateSpent:
-    """Tests for ``estimate_spent``."""
+    """Tests for ``estimate_elapsed``."""
 
     @pytest.mark.parametrize("patience", [5.2, 5.6, 6.0])
     def test_natural_differences_of_patience_are_no_return(self, patience: float) -> None:
@@ -180,14 +180,14 @@
 
         Taken for returning callers, most of them waited for room to spare, and came late for that.
         """
-        assert estimate_spent(patience, 6.0) == 0.0
+        assert estimate_elapsed(patience, 6.0) == 0.0
 
     @given(st.floats(0.87, 1.0), st.integers(0, 1000))
     def test_refused_caller_is_known_when_it_returns(self, share: float, seed: int) -> None:
         """What a returning caller has left tells it from a fresh one, however patient it was."""
         patience = 6.0 * share
-        left = patience - pick_return(patience, 5, Random(seed))
-        assert estimate_spent(left, 6.0) > 0.0
+        left = patience - pick_retry_after(patience, 5, Random(seed))
+        assert estimate_elapsed(left, 6.0) > 0.0
 
 
 class TestRankUrgency:
@@ -196,48 +196,48 @@
     def test_order_at_an_engine(self) -> None:
         """A stream that goes on elsewhere first, then by kind, then those that can be in time."""
         ranks = [
-            rank_urgency(3, late=False, begun=True),
-            rank_urgency(0, late=False, begun=False),
-            rank_urgency(0, late=True, begun=False),
-            rank_urgency(1, late=False, begun=False),
-            rank_urgency(9, late=False, begun=False),
+            rank_urgency(3, overdue=False, begun=True),
+            rank_urgency(0, overdue=False, begun=False),
+            rank_urgency(0, overdue=True, begun=False),
+            rank_urgency(1, overdue=False, begun=False),
+            rank_urgency(9, overdue=False, begun=False),
         ]
-        assert ranks == sorted(ranks) and ranks[-1] < URGENCIES and ranks[0] == 0
+        assert ranks == sorted(ranks) and ranks[-1] < URGENCY_LEVELS and ranks[0] == 0
 
 
 class TestPickReturn:
-    """Tests for ``pick_return``."""
+    """Tests for ``pick_retry_after``."""
 
     @given(st.floats(0.1, 10), st.integers(0, 3), st.integers())
     def test_callers_can_wait_that_long(self, left: float, candidates: int, seed: int) -> None:
         """Nobody is told a time that it will not wait."""
-        assert 0.05 <= pick_return(left, candidates, Random(seed)) <= max(0.05, left / 3)
+        assert 0.05 <= pick_retry_after(left, candidates, Random(seed)) <= max(0.05, left / 3)
 
     def test_returns_are_spread(self) -> None:
         """A burst that is refused does not come back as one."""
-        returns = sorted(pick_return(6.0, 5, Random(seed)) for seed in range(50))
+        returns = sorted(pick_retry_after(6.0, 5, Random(seed)) for seed in range(50))
         assert returns[-1] - returns[0] > 0.8
 
     def test_outage_sends_callers_far_ahead(self) -> None:
         """While no endpoint can take requests, an early return would be refused again."""
-        assert min(pick_return(6.0, 0, Random(seed)) for seed in range(50)) >= 1.6
+        assert min(pick_retry_after(6.0, 0, Random(seed)) for seed in range(50)) >= 1.6
 
 
 class TestEstimateUnseen:
-    """Tests for ``estimate_unseen``."""
+    """Tests for ``estimate_unreported``."""
 
     def test_first_engine_back_is_not_filled_by_all_nodes_at_once(self) -> None:
         """Every node finds the same single engine idle, and none sees the sends of the others.
 
         Each sends a handful in a quarter of a second; nine nodes fill 16 slots three times over.
         """
-        unseen = estimate_unseen(5, nodes=9, endpoints=1, engine=PROFILE)
-        assert predict_first_event(PROFILE, 0, unseen, 977).total > 1.0
+        unreported = estimate_unreported(5, nodes=9, endpoints=1, engine=PROFILE)
+        assert predict_first_event(PROFILE, 0, unreported, 977).total > 1.0
 
     def test_calm_fleet_is_not_held_back(self) -> None:
         """Spread over many engines, what others send is read before it would matter."""
-        assert estimate_unseen(4, nodes=9, endpoints=14, engine=PROFILE) == 0.0
+        assert estimate_unreported(4, nodes=9, endpoints=14, engine=PROFILE) == 0.0
 
     def test_plain_services_are_not_guessed_at(self) -> None:
         """Their endpoints answer in milliseconds and tell their load with each answer."""
-        assert estimate_unseen(50, nodes=9, endpoints=1, engine=None) == 0.0
+        assert estimate_unreported(50, nodes=9, endpoints=1, engine=None) == 0.0
--- a/packages/wrenloft-policy/tests/test_fetching.py
+++ b/packages/wrenloft-policy/tests/test_fetching.py
@@ -5,9 +5,9 @@
 from wrenloft_policy import (
     ChunkSource,
     choose_fetch,
-    list_feeders,
-    measure_lateness,
-    measure_origin_patience,
+    compute_lateness,
+    compute_origin_timeout,
+    list_origin_fetchers,
 )
 
 NEAR = ["10.1.0.1:1", "10.1.0.2:1"]
@@ -50,7 +50,7 @@
 
     def test_origin_goes_before_neighbours(self) -> None:
         """A chunk that nobody holds is fetched first: all others wait for it."""
-        sources = [ChunkSource(NEAR[1], 0b0111, 0, near=True)]
+        sources = [ChunkSource(NEAR[1], 0b0111, 0, same_region=True)]
         assert _choose(sources, [0, 1, 2, 3]) == (3, None)
 
     def test_feeder_leaves_its_link_to_the_origin(self) -> None:
@@ -59,7 +59,7 @@
         Nobody can finish until it is back. A feeder whose fetches there are all under way waits
         for the next of them and takes no neighbour's chunk, unless the origin has fallen silent.
         """
-        sources = [ChunkSource(NEAR[1], 0b0111, 0, near=True)]
+        sources = [ChunkSource(NEAR[1], 0b0111, 0, same_region=True)]
         assert _choose(sources, [0, 3], free=False, first=True) is None
         assert _choose(sources, [0, 3], free=False, first=False) == (0, NEAR[1])
         assert _choose(sources, [0, 1], free=False, first=True) is not None
@@ -67,14 +67,14 @@
     def test_rarest_near_chunk_is_taken(self) -> None:
         """Of what the region holds, the chunk with the fewest holders comes first."""
         sources = [
-            ChunkSource(NEAR[1], 0b011, 0, near=True),
-            ChunkSource("10.1.0.3:1", 0b001, 0, near=True),
+            ChunkSource(NEAR[1], 0b011, 0, same_region=True),
+            ChunkSource("10.1.0.3:1", 0b001, 0, same_region=True),
         ]
         assert _choose(sources, [0, 1]) == (1, NEAR[1])
 
     def test_far_chunk_is_brought_over_in_turn(self) -> None:
         """One agent of the region brings a chunk over; the other waits, then takes its turn."""
-        sources = [ChunkSource(FAR[0], 0b1, 0, near=False)]
+        sources = [ChunkSource(FAR[0], 0b1, 0, same_region=False)]
         assert _choose(sources, [0], own=NEAR[0]) == (0, FAR[0])
         assert _choose(sources, [0], own=NEAR[1]) is None
         assert _choose(sources, [0], own=NEAR[1], waited=3.0) == (0, FAR[0])
@@ -82,8 +82,8 @@
     def test_busy_near_holder_keeps_a_chunk_from_crossing(self) -> None:
         """A neighbour that is busy for a moment still holds its chunks."""
         sources = [
-            ChunkSource(NEAR[1], 0b1, 2, near=True),
-            ChunkSource(FAR[0], 0b1, 0, near=False),
+            ChunkSource(NEAR[1], 0b1, 2, same_region=True),
+            ChunkSource(FAR[0], 0b1, 0, same_region=False),
         ]
         assert _choose(sources, [0]) is None
 
@@ -95,9 +95,9 @@
     def test_origin_gives_a_rare_chunk_twice(self) -> None:
         """Once all chunks have left the origin, its idle link relieves its region's uplinks."""
         sources = [
-            ChunkSource(NEAR[1], 0b11, 0, near=True),
-            ChunkSource("10.1.0.3:1", 0b01, 0, near=True),
-            ChunkSource("10.1.0.4:1", 0b01, 0, near=True),
+            ChunkSource(NEAR[1], 0b11, 0, same_region=True),
+            ChunkSource("10.1.0.3:1", 0b01, 0, same_region=True),
+            ChunkSource("10.1.0.4:1", 0b01, 0, same_region=True),
         ]
         assert _choose(sources, [0, 1], repeats=True) == (1, None)
         assert _choose(sources, [0], repeats=True) != (0, None)
@@ -109,17 +109,17 @@
 
     def test_chunk_waits_for_the_region_that_relays_it(self) -> None:
         """What another region is to bring nearer is not fetched from the origin's region yet."""
-        sources = [ChunkSource(FAR[0], 0b1, 0, near=False)]
+        sources = [ChunkSource(FAR[0], 0b1, 0, same_region=False)]
         assert _choose(sources, [0], own=NEAR[0], crosses=False) is None
 
 
 class TestListFeeders:
-    """Tests for ``list_feeders``."""
+    """Tests for ``list_origin_fetchers``."""
 
     def test_few_fetch_while_chunks_are_not_late(self) -> None:
         """Four of many ask the origin, which accepts few connections."""
         members = [f"a{number:02}" for number in range(14)]
-        first = list_feeders(members, 0.0)
+        first = list_origin_fetchers(members, 0.0)
         assert len(first) == len(set(first)) == 4
 
     def test_late_chunks_are_everybody_s_and_pass_on(self) -> None:
@@ -129,7 +129,7 @@
         no dead agent keeps a chunk from the others.
         """
         members = [f"a{number:02}" for number in range(14)]
-        owners = [list_feeders(members, late) for late in (0.1, 1.6, 3.1)]
+        owners = [list_origin_fetchers(members, late) for late in (0.1, 1.6, 3.1)]
         assert all(sorted(each) == members for each in owners)
         for chunk in range(64):
             turns = [each[chunk % len(each)] for each in owners]
@@ -137,11 +137,11 @@
 
     def test_small_swarms_all_feed(self) -> None:
         """Two agents are two feeders."""
-        assert set(list_feeders(["a", "b"], 0.0)) == {"a", "b"}
+        assert set(list_origin_fetchers(["a", "b"], 0.0)) == {"a", "b"}
 
 
 class TestLateness:
-    """Tests for ``measure_lateness`` and ``measure_origin_patience``."""
+    """Tests for ``compute_lateness`` and ``compute_origin_timeout``."""
 
     def test_chunks_are_not_late_while_the_origin_is_drained(self) -> None:
         """The origin's link needs 2.8 s for a version, and a chunk leaves it every 0.05 s.
@@ -149,15 +149,15 @@
         Taken for late after a second, what the feeders had on their way was fetched again by
         others, and the origin went away before a quarter of the chunks had left it.
         """
-        assert measure_lateness(age=2.5, stalled=0.3, drain_seconds=2.8) == 0.0
-        assert measure_lateness(age=5.0, stalled=0.3, drain_seconds=2.8) > 1.0
+        assert compute_lateness(age=2.5, stalled=0.3, drain_seconds=2.8) == 0.0
+        assert compute_lateness(age=5.0, stalled=0.3, drain_seconds=2.8) > 1.0
 
     def test_dead_feeders_are_replaced(self) -> None:
         """The agents whose turn it is die: nobody gets anything, and turns pass on."""
-        assert measure_lateness(age=2.0, stalled=1.8, drain_seconds=4.3) > 0.0
+        assert compute_lateness(age=2.0, stalled=1.8, drain_seconds=4.3) > 0.0
 
     def test_not_everybody_asks_when_the_origin_is_back(self) -> None:
         """It was away for seconds and no agent got a chunk; 35 of them would draw one each."""
-        patience = [measure_origin_patience(rank) for rank in range(35)]
+        patience = [compute_origin_timeout(rank) for rank in range(35)]
         assert sum(each < 2.0 for each in patience) <= 5
         assert patience == sorted(patience)
--- a/packages/wrenloft-policy/tests/test_layers.py
+++ b/packages/wrenloft-policy/tests/test_layers.py
@@ -9,9 +9,9 @@
 from wrenloft_policy import (
     LayerHolder,
     LayerSpan,
+    assign_parts,
     complete_chain,
     list_span_chunks,
-    pick_parts,
     split_layers,
 )
 
@@ -42,7 +42,7 @@
     def test_neighbours_take_different_parts(self) -> None:
         """Of two hosts next to each other in the list, each can complete the other's chain."""
         members = ["10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4"]
-        assert [pick_parts(members, 2)[each] for each in members] == [0, 1, 0, 1]
+        assert [assign_parts(members, 2)[each] for each in members] == [0, 1, 0, 1]
 
 
 class TestListSpanChunks:
@@ -75,7 +75,7 @@
             assert covered != set(range(12))
             return
         assert [n for part in chain for n in range(part.span.start, part.span.stop)] == [*range(12)]
-        assert all(held[part.key].holds(part.span) for part in chain)
+        assert all(held[part.key].contains(part.span) for part in chain)
         assert len({part.key for part in chain}) == len(chain)
 
     def test_chain_begins_with_the_first_layer(self) -> None:
--- a/packages/wrenloft-policy/tests/test_limits.py
+++ b/packages/wrenloft-policy/tests/test_limits.py
@@ -10,19 +10,21 @@
     EjectionRule,
     Ejections,
     FairQueue,
+    LimitShare,
+    QueuedRequest,
     RetryBudget,
-    Share,
-    Ticket,
     TokenBucket,
     admit,
     divide_limits,
 )
 
-_SHARE = Share(rate=2.0, concurrent=3, queue=4)
+_SHARE = LimitShare(rate=2.0, concurrent=3, queue=4)
 
 
-def _ticket(number: int, organisation: str, priority: Priority = Priority.INTERACTIVE) -> Ticket:
-    return Ticket(number, OrganisationName(organisation), priority, deadline=float(number))
+def _ticket(
+    number: int, organisation: str, priority: Priority = Priority.INTERACTIVE
+) -> QueuedRequest:
+    return QueuedRequest(number, OrganisationName(organisation), priority, deadline=float(number))
 
 
 class TestAdmit:
@@ -130,16 +132,16 @@
         budget = RetryBudget(now=0.0)
         retries = 0
         for _ in range(1000):
-            budget.earn()
-            retries += budget.spend(now=0.0)
+            budget.deposit()
+            retries += budget.withdraw(now=0.0)
         assert retries <= 110
 
     def test_lets_a_small_organisation_retry_after_a_while(self) -> None:
         """A budget that was spent in an outage does not refuse one request a minute for ever."""
         budget = RetryBudget(now=0.0)
-        while budget.spend(now=0.0):
+        while budget.withdraw(now=0.0):
             pass
-        assert budget.spend(now=60.0)
+        assert budget.withdraw(now=60.0)
 
 
 class TestEjections:
--- a/packages/wrenloft-policy/tests/test_placing.py
+++ b/packages/wrenloft-policy/tests/test_placing.py
@@ -10,7 +10,7 @@
 from wrenloft_policy import (
     EntryNode,
     Host,
-    Source,
+    NeighbourSource,
     choose_chunk,
     choose_entries,
     choose_hosts,
@@ -99,16 +99,16 @@
     def test_takes_the_rarest_from_the_idlest(self) -> None:
         """A chunk that only one neighbour has is fetched before it can be lost with it."""
         sources = [
-            Source(AgentId("a"), {1, 2}, busy=1, distance=0),
-            Source(AgentId("b"), {1}, busy=0, distance=0),
-            Source(AgentId("c"), {1}, busy=0, distance=2),
+            NeighbourSource(AgentId("a"), {1, 2}, busy=1, distance=0),
+            NeighbourSource(AgentId("b"), {1}, busy=0, distance=0),
+            NeighbourSource(AgentId("c"), {1}, busy=0, distance=2),
         ]
         assert choose_chunk([1, 2], sources, Random(1), 2) == (2, "a")
         assert choose_chunk([1], sources, Random(1), 2) == (1, "b")
 
     def test_waits_when_all_sources_are_busy(self) -> None:
         """No source gets more than its share of this host's requests."""
-        sources = [Source(AgentId("a"), {1}, busy=2, distance=0)]
+        sources = [NeighbourSource(AgentId("a"), {1}, busy=2, distance=0)]
         assert choose_chunk([1], sources, Random(1), 2) is None
 
 
--- a/packages/wrenloft-policy/tests/test_rate_limits.py
+++ b/packages/wrenloft-policy/tests/test_rate_limits.py
@@ -8,15 +8,15 @@
 from hypothesis import strategies as st
 
 from wrenloft_policy import (
-    LEAST_RATE,
+    MIN_ENDPOINT_RATE,
     Bucket,
-    Group,
+    NodeGroup,
     RateLimit,
     Verdict,
-    allot_rate,
-    decide_limited_turn,
-    join_limit,
-    pick_limited_return,
+    allocate_rate,
+    decide_limited_dispatch,
+    merge_limit,
+    pick_limited_retry_after,
     pick_limiter,
     refill_bucket,
     update_limit,
@@ -41,7 +41,7 @@
         for order in permutations(told):
             known = None
             for each in order:
-                known = join_limit(known, each)
+                known = merge_limit(known, each)
             results.add(known)
         assert len(results) == 1
 
@@ -49,7 +49,7 @@
         heard = RateLimit(1.8, 0, 7, "n9")
         seen = update_limit(heard, 5.0, "n1")
         assert seen is not None
-        assert join_limit(heard, seen) == join_limit(seen, heard) == seen
+        assert merge_limit(heard, seen) == merge_limit(seen, heard) == seen
 
 
 class TestAllotRate:
@@ -61,19 +61,23 @@
         total = sum(sizes)
         for inside in range(sizes[0] + 1):
             for outside in range(total - sizes[0] + 1):
-                one = allot_rate(8.0, Group(inside, sizes[0]), Group(inside + outside, total))
+                one = allocate_rate(
+                    8.0, NodeGroup(inside, sizes[0]), NodeGroup(inside + outside, total)
+                )
                 rest = total - inside - outside
-                other = allot_rate(8.0, Group(sizes[0] - inside, sizes[0]), Group(rest, total))
+                other = allocate_rate(
+                    8.0, NodeGroup(sizes[0] - inside, sizes[0]), NodeGroup(rest, total)
+                )
                 parts = (one if inside + outside else 0.0) + (other if rest else 0.0)
                 assert parts <= 1.375 * 8.0
 
     def test_lone_survivors_use_all_of_it_once_the_others_are_not_listed(self) -> None:
-        assert allot_rate(5.0, Group(1, 1), Group(1, 1)) == 5.0
-        assert allot_rate(5.0, Group(0, 0), Group(2, 2)) == 5.0
+        assert allocate_rate(5.0, NodeGroup(1, 1), NodeGroup(1, 1)) == 5.0
+        assert allocate_rate(5.0, NodeGroup(0, 0), NodeGroup(2, 2)) == 5.0
 
     def test_some_requests_go_to_an_endpoint_that_names_nothing_at_all(self) -> None:
         """Guards against a limit of zero that is never heard to end."""
-        assert allot_rate(0.0, Group(3, 3), Group(9, 9)) == LEAST_RATE
+        assert allocate_rate(0.0, NodeGroup(3, 3), NodeGroup(9, 9)) == MIN_ENDPOINT_RATE
 
 
 class TestPickLimiter:
@@ -100,28 +104,28 @@
     def test_returns_lie_within_the_time_that_a_caller_waits(self) -> None:
         random = Random(1)
         for _ in range(200):
-            seconds = pick_limited_return(20.0, 1.0, 40, 6.0, random)
+            seconds = pick_limited_retry_after(20.0, 1.0, 40, 6.0, random)
             assert 1.0 <= seconds <= 2.0
 
     def test_returns_come_as_the_endpoints_take_requests(self) -> None:
         """Guards against callers who all return before the first of them has its turn."""
         random = Random(1)
-        returns = sorted(pick_limited_return(0.2, 50.0, 40, 6.0, random) for _ in range(200))
+        returns = sorted(pick_limited_retry_after(0.2, 50.0, 40, 6.0, random) for _ in range(200))
         assert returns[0] >= 0.2
         assert returns[-1] <= 0.2 + 40 / 50.0
 
     @pytest.mark.parametrize(
         ("wait", "verdict"),
-        [(0.1, Verdict.HOLD), (0.45, Verdict.HOLD), (1.2, Verdict.HOLD), (1.6, Verdict.REFUSE)],
+        [(0.1, Verdict.QUEUE), (0.45, Verdict.QUEUE), (1.2, Verdict.QUEUE), (1.6, Verdict.REFUSE)],
     )
     def test_turn_that_comes_in_time_or_soon_enough_is_waited_for(
         self, wait: float, verdict: Verdict
     ) -> None:
-        assert decide_limited_turn(wait, 0.1, 0.0, 0.0, 0.5, 6.0) is verdict
+        assert decide_limited_dispatch(wait, 0.1, 0.0, 0.0, 0.5, 6.0) is verdict
 
     def test_nobody_is_held_for_long_by_turns_that_never_come(self) -> None:
         """Guards against a request that is held until there is no time left to answer it."""
         held = 0.0
-        while decide_limited_turn(0.1, 0.1, held, 0.0, 0.5, 6.0 - held) is Verdict.HOLD:
+        while decide_limited_dispatch(0.1, 0.1, held, 0.0, 0.5, 6.0 - held) is Verdict.QUEUE:
             held += 0.05
         assert held <= 1.5
--- a/packages/wrenloft-policy/tests/test_relays.py
+++ b/packages/wrenloft-policy/tests/test_relays.py
@@ -8,9 +8,9 @@
 from wrenloft_policy import (
     RelayCandidate,
     assign_places,
-    count_unheard,
-    measure_frame_interval,
-    measure_read_patience,
+    compute_frame_interval,
+    compute_max_snapshot_age,
+    count_unreachable,
     rank_relays,
 )
 
@@ -18,7 +18,7 @@
     st.builds(
         RelayCandidate,
         node_id=st.text(min_size=1, max_size=6),
-        strength=st.sampled_from([1.0, 2.0]),
+        cores=st.sampled_from([1.0, 2.0]),
     ),
     unique_by=lambda each: each.node_id,
     max_size=12,
@@ -38,8 +38,8 @@
     @given(candidates)
     def test_strongest_come_first(self, nodes: list[RelayCandidate]) -> None:
         """A relay works for its whole zone, so a host with more processor time does it."""
-        strength = {each.node_id: each.strength for each in nodes}
-        ranked = [strength[each] for each in rank_relays(nodes)]
+        cores = {each.node_id: each.cores for each in nodes}
+        ranked = [cores[each] for each in rank_relays(nodes)]
         assert ranked == sorted(ranked, reverse=True)
 
 
@@ -66,31 +66,31 @@
 
 
 class TestFrameInterval:
-    """Tests for ``measure_frame_interval``."""
+    """Tests for ``compute_frame_interval``."""
 
     @given(st.integers(1, 60))
     def test_frames_a_second_stay_bounded(self, followers: int) -> None:
         """A relay's part does not grow beyond its rate, however many nodes its zone has."""
-        assert followers / measure_frame_interval(followers) <= 160.0001 or followers < 5
+        assert followers / compute_frame_interval(followers) <= 160.0001 or followers < 5
 
 
 class TestReadPatience:
-    """Tests for ``measure_read_patience``."""
+    """Tests for ``compute_max_snapshot_age``."""
 
     def test_relays_take_over_in_turn(self) -> None:
         """The first reads at its interval; the others later, each at another time."""
-        patience = [measure_read_patience(0.8, rank) for rank in range(5)]
+        patience = [compute_max_snapshot_age(0.8, rank) for rank in range(5)]
         assert patience[0] == 0.8
         assert patience == sorted(set(patience))
         assert patience[-1] <= 1.44
-        assert measure_read_patience(0.8, None) == inf
+        assert compute_max_snapshot_age(0.8, None) == inf
 
 
 class TestCountUnheard:
-    """Tests for ``count_unheard``."""
+    """Tests for ``count_unreachable``."""
 
     def test_few_of_many_do_not_count(self) -> None:
         """One of 98 nodes is silent: the word of all others is better than older reports."""
-        assert count_unheard(98, 96) == 0
-        assert count_unheard(9, 7) == 1
-        assert count_unheard(98, 60) == 37
+        assert count_unreachable(98, 96) == 0
+        assert count_unreachable(9, 7) == 1
+        assert count_unreachable(98, 60) == 37
--- a/packages/wrenloft-policy/tests/test_runners.py
+++ b/packages/wrenloft-policy/tests/test_runners.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies as st
 
 from wrenloft_core import AgentId, PlaceName, RegionName
-from wrenloft_policy import Candidate, choose_least_reported, choose_runner, estimate_load
+from wrenloft_policy import RunnerCandidate, choose_least_reported, choose_runner, estimate_load
 from wrenloft_standins.strategies import candidate_lists
 
 _PLACE = PlaceName("liptov-cave-a")
 _REGION = RegionName("liptov")
 
 
-def _candidate(name: str, **changes: object) -> Candidate:
+def _candidate(name: str, **changes: object) -> RunnerCandidate:
     fields: dict[str, object] = {
         "agent_id": AgentId(name),
         "place": _PLACE,
@@ -24,14 +24,14 @@
         "own": 0,
         "ready_seconds": 100.0,
     }
-    return Candidate(**{**fields, **changes})  # type: ignore[arg-type]
+    return RunnerCandidate(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 class TestChooseRunner:
     """Tests for ``choose_runner``."""
 
     @given(candidate_lists, st.integers())
-    def test_chooses_one_of_the_candidates(self, given: list[Candidate], seed: int) -> None:
+    def test_chooses_one_of_the_candidates(self, given: list[RunnerCandidate], seed: int) -> None:
         """Whatever the reports say, one of the candidates is chosen, and none of none."""
         chosen = choose_runner(given, _PLACE, _REGION, Random(seed))
         if not given:
--- a/packages/wrenloft-policy/tests/test_versions.py
+++ b/packages/wrenloft-policy/tests/test_versions.py
@@ -3,11 +3,11 @@
 from wrenloft_policy import (
     WantedVersion,
     choose_version,
-    is_whole_late,
-    must_insist,
-    must_load_part,
+    compute_swap_turn,
+    is_version_required,
     pick_swap_time,
-    pick_turn,
+    should_fetch_parts,
+    should_load_part,
 )
 
 SIZE = 2_360_000
@@ -31,13 +31,13 @@
 
 
 class TestMustInsist:
-    """Tests for ``must_insist``."""
+    """Tests for ``is_version_required``."""
 
     def test_insists_before_the_deadline(self) -> None:
         """A request sent just before the deadline would begin after it, on the old version."""
         wanted = WantedVersion(2, 100.0)
-        assert not must_insist(wanted, 8.0, 106.0)
-        assert must_insist(wanted, 8.0, 107.5)
+        assert not is_version_required(wanted, 8.0, 106.0)
+        assert is_version_required(wanted, 8.0, 107.5)
 
 
 class TestPickSwapTime:
@@ -51,7 +51,8 @@
         """
         count = 24
         times = sorted(
-            pick_swap_time(pick_turn(index, count), 102.0, 100.0, 8.0) for index in range(count)
+            pick_swap_time(compute_swap_turn(index, count), 102.0, 100.0, 8.0)
+            for index in range(count)
         )
         assert times[0] == 102.0
         assert 105.0 < times[-1] <= 105.4
@@ -59,7 +60,7 @@
 
     def test_first_group_goes_before_the_second(self) -> None:
         """Those that are sent chunks first are whole first, and need not wait for the others."""
-        turns = [pick_turn(index, 9) for index in range(9)]
+        turns = [compute_swap_turn(index, 9) for index in range(9)]
         assert max(turns[0::2]) < min(turns[1::2]) + 0.1
         assert len(set(turns)) == 9
         assert max(turns) < 1.0
@@ -71,7 +72,7 @@
         there is from the first of them, and leave the late ones room at the end.
         """
         first_at, late_at, latest = 102.0, 105.2, 105.4
-        turns = [pick_turn(index, 24) for index in range(24)]
+        turns = [compute_swap_turn(index, 24) for index in range(24)]
         early = [pick_swap_time(each, 102.3, 100.0, 8.0, first_at) for each in turns if each < 0.5]
         late = [pick_swap_time(each, late_at, 100.0, 8.0, first_at) for each in turns if each > 0.5]
         assert max(early) - min(early) > (latest - first_at) / 3
@@ -96,14 +97,14 @@
 
     def test_version_in_time_is_fetched_whole(self) -> None:
         """Chains take half of the requests, so a version that comes in time is not split."""
-        assert not is_whole_late(WantedVersion(2, 100.0), 8.0, 100.3, 6.3)
+        assert not should_fetch_parts(WantedVersion(2, 100.0), 8.0, 100.3, 6.3)
 
     def test_version_whose_origin_was_away_is_fetched_in_parts(self) -> None:
         """The origin is away for six seconds: whole, the version would come five seconds late."""
-        assert is_whole_late(WantedVersion(2, 100.0), 8.0, 106.5, 6.0)
+        assert should_fetch_parts(WantedVersion(2, 100.0), 8.0, 106.5, 6.0)
 
     def test_part_is_loaded_only_at_the_deadline(self) -> None:
         """Until then the engine serves the older version, whole."""
         wanted = WantedVersion(2, 100.0)
-        assert not must_load_part(wanted, 8.0, 105.0)
-        assert must_load_part(wanted, 8.0, 107.5)
+        assert not should_load_part(wanted, 8.0, 105.0)
+        assert should_load_part(wanted, 8.0, 107.5)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
@@ -56,7 +56,7 @@
     far: list[Able] = []
     for state in serving:
         weights = held[state.endpoint.agent_id]
-        whole = weights.span is not None and weights.span.holds(LayerSpan(0, service.layers))
+        whole = weights.span is not None and weights.span.contains(LayerSpan(0, service.layers))
         if whole:
             able.append(Able(state, weights.version))
             continue
--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_guard.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_guard.py
@@ -7,11 +7,11 @@
 
 from wrenloft_core import ContentId, IncarnationId, note, read_clock
 from wrenloft_policy import (
-    TRIAL_SECONDS,
+    PROBE_INTERVAL_SECONDS,
     Crash,
-    Standing,
-    is_proven,
-    measure_trial_wait,
+    CrashStatus,
+    compute_probe_delay,
+    is_cleared_by_success,
 )
 from wrenloft_routing._crash_ledger import CrashLedger, CrashSource, Hold, ToldCrash
 from wrenloft_routing._failure_detector import EndpointFailure
@@ -65,7 +65,7 @@
         if len(self._proven) > MOST_PROVEN:
             self._proven.popitem(last=False)
         was_held = content in self._held
-        self._ledger.excuse(content, Standing.SUCCEEDED)
+        self._ledger.excuse(content, CrashStatus.SUCCEEDED)
         if was_held:
             self._keeper.drop(content)
 
@@ -73,7 +73,7 @@
         """Hold a content back no longer, on an operator's word; return whether it was."""
         if self._ledger.find_hold(content) is None:
             return False
-        self._ledger.excuse(content, Standing.LIFTED)
+        self._ledger.excuse(content, CrashStatus.LIFTED)
         self._keeper.drop(content)
         return True
 
@@ -88,7 +88,7 @@
     def measure_return(self, hold: Hold) -> float:
         """Return the seconds until a request is next let through to find out how it fares."""
         trial_at = self._trials.get(hold.content, float("-inf"))
-        return measure_trial_wait(hold.crash_ats, trial_at, read_clock())
+        return compute_probe_delay(hold.crash_ats, trial_at, read_clock())
 
     async def claim_trial(self, hold: Hold) -> bool:
         """Return whether a request may be sent once, though its content is held back.
@@ -104,7 +104,7 @@
         self._trials.move_to_end(content)
         if len(self._trials) > MOST_TRIALS:
             self._trials.popitem(last=False)
-        claimed = await self._keeper.claim(content, TRIAL_SECONDS)
+        claimed = await self._keeper.claim(content, PROBE_INTERVAL_SECONDS)
         note(_LOG, "trial of a held content", content=content, claimed=claimed)
         return claimed
 
@@ -112,8 +112,8 @@
         """Compare news of a content with what this node knows, and log when a hold begins."""
         ats = self._ledger.list_crash_times(content)
         proven_at = self._proven.get(content)
-        if ats and is_proven(proven_at, max(ats)):
-            self._ledger.excuse(content, Standing.SUCCEEDED)
+        if ats and is_cleared_by_success(proven_at, max(ats)):
+            self._ledger.excuse(content, CrashStatus.SUCCEEDED)
             return
         hold = self._ledger.find_hold(content)
         if (hold is not None) is (content in self._held):
--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
@@ -9,13 +9,13 @@
 
 from wrenloft_core import ContentId, IncarnationId, read_clock
 from wrenloft_policy import (
-    CRASHES_TO_HOLD,
-    EVIDENCE_SECONDS,
+    CRASH_TTL_SECONDS,
+    CRASHES_TO_QUARANTINE,
     Crash,
-    Standing,
-    count_unexplained,
-    join_crash,
-    list_counted,
+    CrashStatus,
+    count_unexplained_crashes,
+    list_counted_crashes,
+    merge_crash,
 )
 
 MOST_CONTENTS = 1024
@@ -46,7 +46,7 @@
     """A crash as one node tells another; clocks differ, so its age is told."""
 
     age: float
-    standing: Standing
+    standing: CrashStatus
 
 
 CrashNews = dict[ContentId, dict[IncarnationId, ToldCrash]]
@@ -108,12 +108,12 @@
         """Take one crash, seen here or told."""
         entry = self._entries.get(content) or _Entry()
         known = entry.crashes.get(incarnation)
-        joined = join_crash(known, crash)
+        joined = merge_crash(known, crash)
         entry.own = entry.own or source is CrashSource.OWN
         if joined == known:
             return
-        if joined.standing is not Standing.COUNTS:
-            self._settle(entry, joined.standing)
+        if joined.status is not CrashStatus.COUNTED:
+            self._settle(entry, joined.status)
         entry.crashes[incarnation] = joined
         entry.source = source
         self._entries[content] = entry
@@ -129,8 +129,8 @@
         self.revision += 1
         entry.revision = self.revision
         self._entries.move_to_end(content)
-        counted = sum(each.standing is Standing.COUNTS for each in entry.crashes.values())
-        if counted >= CRASHES_TO_HOLD:
+        counted = sum(each.status is CrashStatus.COUNTED for each in entry.crashes.values())
+        if counted >= CRASHES_TO_QUARANTINE:
             self._suspects.add(content)
         else:
             self._suspects.discard(content)
@@ -148,7 +148,7 @@
         self._suspects.discard(content)
         self.on_change(content)
 
-    def excuse(self, content: ContentId, standing: Standing) -> bool:
+    def excuse(self, content: ContentId, standing: CrashStatus) -> bool:
         """Let a content's crashes count no longer; return whether any did."""
         entry = self._entries.get(content)
         if entry is None:
@@ -156,14 +156,14 @@
         counting = [
             (incarnation, crash)
             for incarnation, crash in entry.crashes.items()
-            if crash.standing is Standing.COUNTS
+            if crash.status is CrashStatus.COUNTED
         ]
         for incarnation, crash in counting:
             self.record(content, incarnation, Crash(crash.at, standing), entry.source)
         return bool(counting)
 
-    def _settle(self, entry: _Entry, standing: Standing) -> None:
-        if standing is Standing.SUCCEEDED:
+    def _settle(self, entry: _Entry, standing: CrashStatus) -> None:
+        if standing is CrashStatus.SUCCEEDED:
             HELD_WRONGLY.inc(entry.held_back)
         entry.held_back = 0
 
@@ -172,7 +172,7 @@
         now = read_clock()
         for content, crashes in news.items():
             for incarnation, told in crashes.items():
-                if told.age < EVIDENCE_SECONDS:
+                if told.age < CRASH_TTL_SECONDS:
                     crash = Crash(now - told.age, told.standing)
                     self.record(content, incarnation, crash, source)
 
@@ -191,7 +191,7 @@
         """Return a content's crashes as they are told to others."""
         entry = self._entries.get(content) or _Entry()
         return {
-            incarnation: ToldCrash(now - crash.at, crash.standing)
+            incarnation: ToldCrash(now - crash.at, crash.status)
             for incarnation, crash in entry.crashes.items()
         }
 
@@ -203,7 +203,7 @@
     def list_crash_times(self, content: ContentId) -> list[float]:
         """Return when endpoints fell under a content, for crashes that count."""
         entry = self._entries.get(content) or _Entry()
-        return [each.at for each in entry.crashes.values() if each.standing is Standing.COUNTS]
+        return [each.at for each in entry.crashes.values() if each.status is CrashStatus.COUNTED]
 
     def count_held_back(self, content: ContentId) -> None:
         """Count a request that was answered without being sent."""
@@ -222,10 +222,10 @@
         now = read_clock()
         entry = self._entries[content]
         others = [self._entries[each].crashes for each in self._suspects if each != content]
-        count = count_unexplained(entry.crashes, others, now)
-        if count < CRASHES_TO_HOLD:
+        count = count_unexplained_crashes(entry.crashes, others, now)
+        if count < CRASHES_TO_QUARANTINE:
             return None
-        ats = tuple(entry.crashes[each].at for each in list_counted(entry.crashes, now))
+        ats = tuple(entry.crashes[each].at for each in list_counted_crashes(entry.crashes, now))
         return Hold(content, count, ats, entry.source)
 
     def list_holds(self) -> list[Hold]:
@@ -237,9 +237,9 @@
         """Forget contents whose crashes no longer count."""
         now = read_clock()
         for content, entry in list(self._entries.items()):
-            if all(now - each.at >= EVIDENCE_SECONDS for each in entry.crashes.values()):
+            if all(now - each.at >= CRASH_TTL_SECONDS for each in entry.crashes.values()):
                 self._drop(content)
 
 
 def _rank(crash: Crash) -> tuple[bool, float]:
-    return crash.standing is Standing.COUNTS, crash.at
+    return crash.status is CrashStatus.COUNTED, crash.at
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from wrenloft_core import NotRun, Outcome, Unknown
-from wrenloft_policy import pick_limited_return, pick_return
+from wrenloft_policy import pick_limited_retry_after, pick_retry_after
 from wrenloft_routing._exchange import AnswerSink, Headers
 from wrenloft_routing._gate import Refused
 from wrenloft_routing._request_log import RATE_LIMITED
@@ -27,10 +27,10 @@
     left = max(0.0, progress.left)
     turn = refused.turn
     if turn is not None:
-        return pick_limited_return(turn.wait, turn.rate, turn.waiting, left, random)
+        return pick_limited_retry_after(turn.wait, turn.rate, turn.waiting, left, random)
     if progress.attempts or progress.not_sent:
         return _CONNECT_RETRY_SECONDS
-    return pick_return(left, refused.candidates, random)
+    return pick_retry_after(left, refused.candidates, random)
 
 
 async def send_refusal(outcome: NotRun, sink: AnswerSink) -> None:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
@@ -19,11 +19,11 @@
     note,
 )
 from wrenloft_policy import (
-    EVERY_LAYER,
+    ALL_LAYERS,
     REPORT_LAG_SECONDS,
+    AdvertisedLimit,
     EndpointLoad,
     LayerSpan,
-    NamedLimit,
 )
 from wrenloft_routing._limit_ledger import LimitLedger
 from wrenloft_routing._loads import NO_LOAD, InProgress, PeerLoads
@@ -77,7 +77,7 @@
     slots: int
     leaving: bool = False
     versions: dict[str, int] = field(default_factory=dict)
-    span: LayerSpan | None = EVERY_LAYER
+    span: LayerSpan | None = ALL_LAYERS
     born: int = 0
 
     @property
@@ -101,7 +101,7 @@
     version: int
     loading: bool
     pace: float
-    span: LayerSpan | None = EVERY_LAYER
+    span: LayerSpan | None = ALL_LAYERS
     born: int = 0
 
 
@@ -356,7 +356,7 @@
         return self.limits.find_rate(state.endpoint.incarnation) if self.limits else None
 
     def record_limit(
-        self, state: EndpointState, named: NamedLimit | None, *, limit_known: bool
+        self, state: EndpointState, named: AdvertisedLimit | None, *, limit_known: bool
     ) -> None:
         """Take the rate limit that an answer names, or that it names none.
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from wrenloft_core import OrganisationName, RequestId
-from wrenloft_policy import NamedLimit
+from wrenloft_policy import AdvertisedLimit
 from wrenloft_routing._chains import ChainStage
 from wrenloft_routing._endpoints import Endpoint
 
@@ -82,7 +82,7 @@
     mistaken: bool
     load: tuple[int, int, int] | None = None
     address: str | None = None
-    named_limit: NamedLimit | None = None
+    named_limit: AdvertisedLimit | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
     status: int
     headers: Headers
     load: tuple[int, int, int] | None
-    named_limit: NamedLimit | None
+    named_limit: AdvertisedLimit | None
     genuine: bool
     is_stream: bool
     leaving: bool
--- a/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
@@ -14,7 +14,7 @@
     read_clock,
 )
 from wrenloft_policy import (
-    estimate_spent,
+    estimate_elapsed,
     rank_urgency,
 )
 from wrenloft_routing._budget import SharedBudget
@@ -167,7 +167,7 @@
         """
         longest = max(patience, self._longest.get(rule, 0.0) * PATIENCE_DECAY)
         self._longest[rule] = longest
-        return estimate_spent(patience, longest)
+        return estimate_elapsed(patience, longest)
 
     async def _run(self, progress: RequestProgress, sink: AnswerSink) -> Outcome:
         """Send attempts until one gives the answer or no further one is allowed."""
@@ -334,7 +334,7 @@
             last_event=progress.pump.last,
             chain=placed.chain,
             urgency=rank_urgency(
-                progress.rank, late=progress.spent > 0.0, begun=progress.pump.begun
+                progress.rank, overdue=progress.spent > 0.0, begun=progress.pump.begun
             ),
         )
         try:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
@@ -7,7 +7,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout, web
 
 from wrenloft_core import NodeId, Signal, note, read_clock
-from wrenloft_policy import measure_frame_interval
+from wrenloft_policy import compute_frame_interval
 from wrenloft_routing._frames import Frame, FrameScope, decode_frame, encode_frame
 from wrenloft_routing._metrics import MESSAGES
 from wrenloft_routing._readings import ReadingMirror, SharedReading
@@ -90,7 +90,7 @@
             if changed or now - told_at >= FRAME_IDLE_SECONDS:
                 told_at = now
                 await _write(response, frame)
-            await self._news.wait(measure_frame_interval(self._counts[scope]))
+            await self._news.wait(compute_frame_interval(self._counts[scope]))
 
     async def _write_readings(self, response: web.StreamResponse, writer: FrameWriter) -> None:
         while True:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from wrenloft_core import AgentId, ContentId, IncarnationId, NodeId, ServiceName
-from wrenloft_policy import LayerSpan, RateLimit, Standing
+from wrenloft_policy import CrashStatus, LayerSpan, RateLimit
 from wrenloft_routing._crash_ledger import CrashNews, ToldCrash
 from wrenloft_routing._endpoints import EngineReport
 from wrenloft_routing._limit_ledger import LimitNews
@@ -142,7 +142,7 @@
     """Return what rows say."""
     return {
         ContentId(str(content)): {
-            IncarnationId(str(incarnation)): ToldCrash(float(age), Standing(standing))
+            IncarnationId(str(incarnation)): ToldCrash(float(age), CrashStatus(standing))
             for incarnation, age, standing in crashes
         }
         for content, crashes in rows.items()
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -8,25 +8,25 @@
 
 from wrenloft_core import AgentId, ServiceName, read_clock
 from wrenloft_policy import (
-    AIM_SHARE_MOST,
-    HOLD_SHARE,
-    LATE_SHARE,
-    LEAST_RATE,
-    Choice,
+    MAX_OBJECTIVE_SHARE,
+    MIN_ENDPOINT_RATE,
+    OVERDUE_OBJECTIVE_SHARE,
+    QUEUE_SHARE,
+    EndpointChoice,
     EndpointLoad,
     Prediction,
     Verdict,
     WantedVersion,
-    adjust_aim_share,
+    adjust_objective_share,
     choose_endpoint,
-    count_seconds,
-    count_unheard,
-    decide_limited_turn,
-    decide_turn,
-    estimate_unseen,
-    must_insist,
-    predict_answer,
-    share_room,
+    compute_objective_seconds,
+    compute_send_probability,
+    count_unreachable,
+    decide_dispatch,
+    decide_limited_dispatch,
+    estimate_unreported,
+    is_version_required,
+    predict_first_byte,
 )
 from wrenloft_routing._chains import Able, ChainStage, list_able
 from wrenloft_routing._endpoints import Endpoints, EndpointState
@@ -98,7 +98,7 @@
     @property
     def is_late(self) -> bool:
         """Whether the answer comes late in any case."""
-        return not self.begun and self.spent > self.aim * HOLD_SHARE
+        return not self.begun and self.spent > self.aim * QUEUE_SHARE
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,8 +183,8 @@
 
     def record_first_event(self, service: ServiceName, *, in_time: bool) -> None:
         """Take whether a request that could be in time had its first event in time."""
-        share = self._aim_shares.get(service, AIM_SHARE_MOST)
-        self._aim_shares[service] = adjust_aim_share(share, in_time=in_time)
+        share = self._aim_shares.get(service, MAX_OBJECTIVE_SHARE)
+        self._aim_shares[service] = adjust_objective_share(share, in_time=in_time)
 
     def name_version(self, model: str, wanted: WantedVersion) -> bool:
         """Take a version that operators named; return whether it is newer than all known.
@@ -203,7 +203,7 @@
         due = [
             each.number
             for each in self._wanted.get(service.model or "", ())
-            if must_insist(each, self._version_seconds, now)
+            if is_version_required(each, self._version_seconds, now)
         ]
         return max(due, default=0)
 
@@ -257,7 +257,7 @@
             known = len(self._endpoints.of_service(request.service.name))
             if choice is None:
                 return Refused(f"none of {known} endpoints can take it", 0)
-            needed = count_seconds(choice.prediction, request.service.engine)
+            needed = compute_objective_seconds(choice.prediction, request.service.engine)
             return Refused(f"best of {len(snapshot.able)} needs {needed:.3f} s", len(snapshot.able))
         return None
 
@@ -292,12 +292,14 @@
     def _decide_turn(
         self, request: PlacementRequest, turn: LimitedTurn, work: float, now: float
     ) -> Refused | None:
-        least = self._measure_least(request, work)
+        idle_seconds = self._measure_least(request, work)
         held, left = now - request.since, request.deadline - now
-        verdict = decide_limited_turn(turn.wait, least, held, request.spent, request.aim, left)
+        verdict = decide_limited_dispatch(
+            turn.wait, idle_seconds, held, request.spent, request.aim, left
+        )
         if request.is_late and self._has_refused_fresh(request.service.name, now):
             verdict = Verdict.REFUSE  # fresh ones take all there is
-        if verdict is Verdict.HOLD:
+        if verdict is Verdict.QUEUE:
             request.denials = 0
             return None
         if not request.is_late:
@@ -333,11 +335,11 @@
 
     def _weigh(
         self, request: PlacementRequest, snapshot: Snapshot, now: float
-    ) -> tuple[Choice | None, Verdict]:
+    ) -> tuple[EndpointChoice | None, Verdict]:
         """Choose an endpoint, and decide whether the request is sent there now."""
         engine = request.service.engine
         work = snapshot.work
-        aim_share = self._aim_shares.get(request.service.name, AIM_SHARE_MOST)
+        objective_share = self._aim_shares.get(request.service.name, MAX_OBJECTIVE_SHARE)
         elapsed = now - request.since + request.spent
         choice = choose_endpoint(
             snapshot.loads,
@@ -345,27 +347,27 @@
             request.prompt_tokens,
             work,
             self._random,
-            request.aim * aim_share - elapsed,
+            request.aim * objective_share - elapsed,
             snapshot.best,
         )
-        needed, least = None, inf
+        needed, idle_seconds = None, inf
         if choice is not None:
-            least = self._measure_least(request, work)
+            idle_seconds = self._measure_least(request, work)
             urgent = any(each.order < request.order for each in self._waiting[request.service.name])
-            limit = request.aim * aim_share
+            limit = request.aim * objective_share
             # A limiter says itself who goes; yielding to others as well would be a wait in vain.
             granted = snapshot.is_limited(choice.key)
             if not urgent and (granted or not self._must_yield(request, snapshot, limit, now)):
-                needed = count_seconds(choice.prediction, engine)
-        verdict = decide_turn(
+                needed = compute_objective_seconds(choice.prediction, engine)
+        verdict = decide_dispatch(
             needed,
             elapsed,
             request.aim,
             request.deadline - now,
             limited=engine is not None and not request.begun,
-            spent=request.spent,
-            aim_share=aim_share,
-            least=least,
+            elapsed_before=request.spent,
+            objective_share=objective_share,
+            idle_seconds=idle_seconds,
         )
         return choice, verdict
 
@@ -397,10 +399,10 @@
         queue += self._endpoints.others.queue_of(request.service.name)
         if queue.fresh + queue.late <= 1:
             return False
-        share = LATE_SHARE if request.is_late else 1.0
-        room = snapshot.count_room(engine, limit * share)
-        if self._random.random() < share_room(
-            room, queue.fresh, queue.late, late_ask=request.is_late
+        share = OVERDUE_OBJECTIVE_SHARE if request.is_late else 1.0
+        room = snapshot.count_spare_slots(engine, limit * share)
+        if self._random.random() < compute_send_probability(
+            room, queue.fresh, queue.late, for_overdue=request.is_late
         ):
             return False
         request.not_before = now + self._update_interval()
@@ -421,23 +423,23 @@
 
     def _measure_least(self, request: PlacementRequest, work: float) -> float:
         """Return the seconds that count against the aim at an idle endpoint."""
-        return count_seconds(self._predict_idle(request, work), request.service.engine)
+        return compute_objective_seconds(self._predict_idle(request, work), request.service.engine)
 
     def _predict_idle(self, request: PlacementRequest, work: float) -> Prediction:
         idle = EndpointLoad("idle", slots=1, running=0, waiting=0, sent_since=0, distance=0)
-        return predict_answer(idle, request.service.engine, request.prompt_tokens, work)
+        return predict_first_byte(idle, request.service.engine, request.prompt_tokens, work)
 
     def _measure(
         self, able: Sequence[Able], service: BackendService, now: float
     ) -> list[EndpointLoad]:
         self._endpoints.others.drop_silent(now)
-        unheard = count_unheard(self._count_nodes(), self._endpoints.others.count_heard())
+        unheard = count_unreachable(self._count_nodes(), self._endpoints.others.count_heard())
         loads = [self._endpoints.measure(each.state, now, all_heard=not unheard) for each in able]
         if not unheard:
             return loads
         recent = sum(each.recent for each in loads)
-        unseen = estimate_unseen(recent, 1 + unheard, len(loads), service.engine)
-        return [replace(each, unseen=unseen) for each in loads]
+        unreported = estimate_unreported(recent, 1 + unheard, len(loads), service.engine)
+        return [replace(each, unreported=unreported) for each in loads]
 
     def _list_able(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
@@ -467,7 +469,7 @@
         may_ask = not pauses or (limited and len(pauses) < len(able))
         return Opening(
             at=now if may_ask else min(each.turn_at for each in pauses),
-            rate=sum(max(LEAST_RATE, each) for each in rates if each is not None),
+            rate=sum(max(MIN_ENDPOINT_RATE, each) for each in rates if each is not None),
             least_urgent=max(able, key=lambda each: each.state.denial.urgency),
         )
 
@@ -491,7 +493,7 @@
     if not request.begun:
         await asyncio.sleep(_LEAST_WAIT)
     try:
-        async with asyncio.timeout(max(_LEAST_WAIT, request.aim * HOLD_SHARE / 4)):
+        async with asyncio.timeout(max(_LEAST_WAIT, request.aim * QUEUE_SHARE / 4)):
             await changed.wait()
     except TimeoutError:
         pass
--- a/packages/wrenloft-routing/src/wrenloft_routing/_limit_ledger.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_limit_ledger.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from wrenloft_core import IncarnationId, NodeId, note, read_clock
-from wrenloft_policy import NamedLimit, RateLimit, join_limit, update_limit
+from wrenloft_policy import AdvertisedLimit, RateLimit, merge_limit, update_limit
 
 _LOG = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
         return limit.rate if limit is not None else None
 
     def observe(
-        self, incarnation: IncarnationId, named: NamedLimit | None, *, limit_known: bool
+        self, incarnation: IncarnationId, named: AdvertisedLimit | None, *, limit_known: bool
     ) -> None:
         """Take what an answer says.
 
@@ -98,7 +98,7 @@
         """Take what another node tells."""
         for incarnation, told in news.items():
             known = self.find(incarnation)
-            joined = join_limit(known, told)
+            joined = merge_limit(known, told)
             if joined is not known:
                 self._change(incarnation, joined)
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_limiter.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_limiter.py
@@ -8,9 +8,9 @@
 from wrenloft_policy import (
     Bucket,
     RateLimit,
-    allot_rate,
-    count_needed,
-    pick_ask_again,
+    allocate_rate,
+    count_required_tokens,
+    pick_grant_retry_delay,
     pick_limiter,
     refill_bucket,
 )
@@ -99,7 +99,7 @@
             return Grant(granted=True)
         if self.find_limiter(incarnation, request.place) != self._members.own.node_id:
             return Grant(False, MISTAKEN_SECONDS, MISTAKEN_SECONDS)
-        allotted = allot_rate(rate, *self._members.count_groups(request.place))
+        allotted = allocate_rate(rate, *self._members.count_groups(request.place))
         return self._decide(request, allotted, read_clock())
 
     def _decide(self, request: GrantRequest, rate: float, now: float) -> Grant:
@@ -110,7 +110,7 @@
             del waiting[node]
         known = waiting.get(request.node, _Waiting(request.urgency, now))
         others = [each.urgency for node, each in waiting.items() if node != request.node]
-        needed = count_needed(sum(each < request.urgency for each in others), rate)
+        needed = count_required_tokens(sum(each < request.urgency for each in others), rate)
         tokens = account.bucket.tokens
         if tokens >= needed:
             account.bucket = Bucket(tokens - 1.0, now)
@@ -119,7 +119,7 @@
             return Grant(granted=True)
         due = (needed - tokens) / rate
         ahead = sum(each == request.urgency for each in others)
-        ask_again = pick_ask_again(due, ahead / rate, self._random)
+        ask_again = pick_grant_retry_delay(due, ahead / rate, self._random)
         urgency = min(request.urgency, known.urgency)
         waiting[request.node] = _Waiting(urgency, now + ask_again + WAITING_SECONDS)
         return Grant(False, ask_again, due + ahead / rate)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
@@ -10,7 +10,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout, web
 
 from wrenloft_core import AgentId, ServiceName, note, read_clock
-from wrenloft_policy import measure_frame_interval
+from wrenloft_policy import compute_frame_interval
 from wrenloft_routing._crash_ledger import CrashLedger, CrashNews, CrashSource
 from wrenloft_routing._endpoints import Endpoints
 from wrenloft_routing._followers import FollowedNode
@@ -126,7 +126,7 @@
                 update = NodeUpdate(rest[0], LoadUpdate(changed, rest[1]), crashes, limits)
                 await response.write(encode_update(update))
                 MESSAGES.labels("load", "sent").inc()
-            await asyncio.sleep(measure_frame_interval(self._members.count_near()))
+            await asyncio.sleep(compute_frame_interval(self._members.count_near()))
 
 
 def encode_update(update: NodeUpdate) -> bytes:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_members.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_members.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from wrenloft_core import NodeId, PlaceName, RegionName, note, read_clock
-from wrenloft_policy import Group, RelayCandidate, rank_relays
+from wrenloft_policy import NodeGroup, RelayCandidate, rank_relays
 
 _LOG = logging.getLogger(__name__)
 
@@ -104,12 +104,12 @@
         heard = (NodeState.READY, NodeState.UNREADY)
         return [each for each in self._members.values() if each is self.own or each.state in heard]
 
-    def count_groups(self, place: PlaceName) -> tuple[Group, Group]:
+    def count_groups(self, place: PlaceName) -> tuple[NodeGroup, NodeGroup]:
         """Return how many nodes of a zone, and of all, are heard of and listed."""
         heard = self.list_heard()
         zone_heard = sum(each.place == place for each in heard)
         zone_listed = sum(each.place == place for each in self._members.values())
-        return Group(zone_heard, zone_listed), Group(len(heard), len(self._members))
+        return NodeGroup(zone_heard, zone_listed), NodeGroup(len(heard), len(self._members))
 
     def hears_address(self, internal: str) -> bool:
         """Tell whether the node at an internal address is this one or is heard of."""
--- a/packages/wrenloft-routing/src/wrenloft_routing/_readings.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_readings.py
@@ -11,7 +11,7 @@
 from blake3 import blake3
 
 from wrenloft_core import PlatformUnavailableError, Signal, note, read_clock
-from wrenloft_policy import SELF_READ_SECONDS, STALE_FACTOR, measure_read_patience
+from wrenloft_policy import DIRECT_READ_SECONDS, STALE_INTERVALS, compute_max_snapshot_age
 from wrenloft_routing._frames import ReadingChange
 from wrenloft_routing._members import Member, Members
 from wrenloft_routing._packing import Item, pack_items, unpack_items
@@ -171,9 +171,9 @@
             return 0.0
         role = self._role()
         if role is ReaderRole.RELAYING:
-            return measure_read_patience(self._interval, self._rank_place())
+            return compute_max_snapshot_age(self._interval, self._rank_place())
         if role is ReaderRole.FOLLOWING:
-            return 2.0 * STALE_FACTOR * self._interval
+            return 2.0 * STALE_INTERVALS * self._interval
         return float("inf")
 
     def _rank_place(self) -> int:
@@ -193,7 +193,7 @@
             return True
         if len(self._members) > 1:
             nodes = self._members.count_near()
-            wait = self._random.uniform(0.0, 2.0 * SELF_READ_SECONDS * nodes)
+            wait = self._random.uniform(0.0, 2.0 * DIRECT_READ_SECONDS * nodes)
         else:
             wait = self._random.uniform(*FIRST_WAIT_SECONDS)
         await asyncio.sleep(wait)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_snapshot.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_snapshot.py
@@ -5,7 +5,7 @@
 from heapq import nsmallest
 
 from wrenloft_core import AgentId
-from wrenloft_policy import EndpointLoad, EngineProfile, count_room, rank_endpoint
+from wrenloft_policy import EndpointLoad, EngineProfile, compute_endpoint_cost, count_spare_slots
 from wrenloft_routing._chains import Able
 
 SNAPSHOT_SECONDS = 0.02
@@ -59,10 +59,10 @@
 
     def __post_init__(self) -> None:
         self._index = {load.key: at for at, load in enumerate(self.loads)}
-        usual = self.engine.usual_prompt if self.engine is not None else 0.0
+        usual = self.engine.mean_prompt_tokens if self.engine is not None else 0.0
 
         def rank(at: int) -> float:
-            return rank_endpoint(self.loads[at], self.engine, usual, self.work)
+            return compute_endpoint_cost(self.loads[at], self.engine, usual, self.work)
 
         self._best = nsmallest(BEST_KEPT, range(len(self.loads)), key=rank)
 
@@ -83,11 +83,11 @@
         """Whether an endpoint takes a request only with a grant."""
         return self.loads[self._index[AgentId(key)]].limited
 
-    def count_room(self, engine: EngineProfile, limit: float) -> int:
+    def count_spare_slots(self, engine: EngineProfile, limit: float) -> int:
         """Count the usual requests that all of them could take with a first event in time."""
         room = self._rooms.get(limit)
         if room is None:
-            room = sum(count_room(each, engine, limit) for each in self.loads)
+            room = sum(count_spare_slots(each, engine, limit) for each in self.loads)
             self._rooms[limit] = room
         return room
 
--- a/packages/wrenloft-routing/tests/test_beliefs.py
+++ b/packages/wrenloft-routing/tests/test_beliefs.py
@@ -18,7 +18,7 @@
     Signal,
     read_clock,
 )
-from wrenloft_policy import EVERY_LAYER
+from wrenloft_policy import ALL_LAYERS
 from wrenloft_routing import (
     CurrencyProof,
     Endpoint,
@@ -171,7 +171,7 @@
         state = endpoints.of_service(SERVICE)[0]
         endpoints.record_report("a:1", EngineReport(0, 0, 1, True, 1.0, None), 100.0)
         assert state.weights_of("m", 100.1).span is None
-        assert state.weights_of("m", 105.0).span == EVERY_LAYER
+        assert state.weights_of("m", 105.0).span == ALL_LAYERS
 
     def test_engine_that_gave_up_a_version_is_not_used_because_of_the_list(self) -> None:
         """An engine drops one version for the next; the list still names the old one.
--- a/packages/wrenloft-routing/tests/test_crash_fleet.py
+++ b/packages/wrenloft-routing/tests/test_crash_fleet.py
@@ -12,7 +12,7 @@
 import pytest
 
 from wrenloft_core import ContentId, IncarnationId, read_clock
-from wrenloft_policy import Crash, measure_frame_interval
+from wrenloft_policy import Crash, compute_frame_interval
 from wrenloft_routing import CrashLedger, CrashSource
 
 CONTENT = ContentId("c")
@@ -71,14 +71,14 @@
         """Let all nodes and relays tell one another."""
         live = [zone for zone in self.zones if self.now >= zone.silent_until]
         for zone in live:
-            interval = measure_frame_interval(len(zone.nodes))
+            interval = compute_frame_interval(len(zone.nodes))
             for node in zone.nodes:
                 if node != zone.relay:
                     self.tell(node, zone.relay, interval)
                     self.tell(zone.relay, node, interval)
             for other in live:
                 if other is not zone:
-                    self.tell(zone.relay, other.relay, measure_frame_interval(len(self.zones) - 1))
+                    self.tell(zone.relay, other.relay, compute_frame_interval(len(self.zones) - 1))
 
     def restart(self, node: int) -> None:
         """Forget all that a node knew."""
--- a/packages/wrenloft-routing/tests/test_crash_guard.py
+++ b/packages/wrenloft-routing/tests/test_crash_guard.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from wrenloft_core import ContentId, IncarnationId, read_clock
-from wrenloft_policy import TRIAL_SECONDS, Crash
+from wrenloft_policy import PROBE_INTERVAL_SECONDS, Crash
 from wrenloft_routing import (
     CrashGuard,
     CrashLedger,
@@ -117,13 +117,13 @@
 async def test_one_trial_a_minute_in_the_whole_fleet() -> None:
     """A minute after the last crash one request goes through, at the node that claims it."""
     node = Node()
-    node.fall("a", "b", "c", age=TRIAL_SECONDS - 1.0)
+    node.fall("a", "b", "c", age=PROBE_INTERVAL_SECONDS - 1.0)
     hold = node.guard.find_hold(CONTENT)
     assert hold is not None
     assert not await node.guard.claim_trial(hold)
     assert 0.0 < node.guard.measure_return(hold) <= 1.0
     node = Node()
-    node.fall("a", "b", "c", age=TRIAL_SECONDS + 1.0)
+    node.fall("a", "b", "c", age=PROBE_INTERVAL_SECONDS + 1.0)
     hold = node.guard.find_hold(CONTENT)
     assert hold is not None
     assert await node.guard.claim_trial(hold)
@@ -135,11 +135,11 @@
     """Its answer is not waited for: the next caller here is refused without asking again."""
     node = Node()
     node.keeper.grants = False
-    node.fall("a", "b", "c", age=TRIAL_SECONDS + 1.0)
+    node.fall("a", "b", "c", age=PROBE_INTERVAL_SECONDS + 1.0)
     hold = node.guard.find_hold(CONTENT)
     assert hold is not None
     assert not await node.guard.claim_trial(hold)
-    assert node.guard.measure_return(hold) > TRIAL_SECONDS - 1.0
+    assert node.guard.measure_return(hold) > PROBE_INTERVAL_SECONDS - 1.0
 
 
 def test_operator_lifts_a_hold() -> None:
--- a/packages/wrenloft-routing/tests/test_crash_ledger.py
+++ b/packages/wrenloft-routing/tests/test_crash_ledger.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from wrenloft_core import ContentId, IncarnationId, read_clock
-from wrenloft_policy import Crash, Standing
+from wrenloft_policy import Crash, CrashStatus
 from wrenloft_routing import CrashLedger, CrashSource
 from wrenloft_routing._crash_ledger import HELD_WRONGLY, MOST_CONTENTS, MOST_CRASHES
 
@@ -17,7 +17,7 @@
     st.tuples(
         st.sampled_from([ContentId("c"), ContentId("d")]),
         st.sampled_from([IncarnationId(each) for each in "vwxyz"]),
-        st.sampled_from(Standing),
+        st.sampled_from(CrashStatus),
     ),
     max_size=12,
 )
@@ -69,9 +69,9 @@
         assert len(ledger) == 0
 
     @pytest.mark.parametrize(
-        ("standing", "wrongly"), [(Standing.SUCCEEDED, 2.0), (Standing.LIFTED, 0.0)]
+        ("standing", "wrongly"), [(CrashStatus.SUCCEEDED, 2.0), (CrashStatus.LIFTED, 0.0)]
     )
-    def test_excuse_ends_the_hold_everywhere(self, standing: Standing, wrongly: float) -> None:
+    def test_excuse_ends_the_hold_everywhere(self, standing: CrashStatus, wrongly: float) -> None:
         """A whole answer, or an operator, at one node; requests held back wrongly are counted."""
         ledger, other = CrashLedger(), CrashLedger()
         _record(ledger, "abc")
--- a/packages/wrenloft-routing/tests/test_forward.py
+++ b/packages/wrenloft-routing/tests/test_forward.py
@@ -26,11 +26,11 @@
     read_clock,
 )
 from wrenloft_policy import (
-    ANSWERS_TO_END,
+    ANSWERS_TO_CLEAR_LIMIT,
+    AdvertisedLimit,
     Crash,
     EngineProfile,
     LayerSpan,
-    NamedLimit,
     WantedVersion,
 )
 from wrenloft_routing import (
@@ -87,7 +87,7 @@
     status: int = 200
     headers: Headers = (("X-Stamp", "s"),)
     load: tuple[int, int, int] | None = None
-    named_limit: NamedLimit | None = None
+    named_limit: AdvertisedLimit | None = None
     genuine: bool = True
     is_stream: bool = False
     leaving: bool = False
@@ -258,7 +258,7 @@
         for number in numbers:
             state = self.endpoints.get(AgentId(f"{PLAIN}-{number}"))
             assert state is not None
-            self.endpoints.record_limit(state, NamedLimit(2.0, "2"), limit_known=False)
+            self.endpoints.record_limit(state, AdvertisedLimit(2.0, "2"), limit_known=False)
             self.denied.add(state.endpoint.agent_id)
 
     def set_spans(self, spans: dict[int, LayerSpan]) -> None:
@@ -483,7 +483,7 @@
         bench.sink = FakeSink()
         state = bench.endpoints.get(AgentId(f"{PLAIN}-1"))
         assert state is not None
-        for _ in range(ANSWERS_TO_END):
+        for _ in range(ANSWERS_TO_CLEAR_LIMIT):
             bench.endpoints.record_limit(state, None, limit_known=True)
         await bench.ask("safe")
         assert bench.sink.status == 200
--- a/packages/wrenloft-routing/tests/test_limit_fleet.py
+++ b/packages/wrenloft-routing/tests/test_limit_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wrenloft_core import IncarnationId, NodeId, PlaceName, RegionName
-from wrenloft_policy import NamedLimit, measure_frame_interval
+from wrenloft_policy import AdvertisedLimit, compute_frame_interval
 from wrenloft_routing import GrantRequest, Limiter, LimitLedger, Member, Members, NodeState
 
 STEP = 0.01
@@ -49,7 +49,7 @@
         self.random = Random(3)
         self.sizes = sizes
         self.limit: float | None = rate
-        self.name_limit: Callable[[], NamedLimit | None] = self._name_limit
+        self.name_limit: Callable[[], AdvertisedLimit | None] = self._name_limit
         self.arrivals: list[float] = []
         self.answers: list[tuple[float, Node, bool]] = []
         self.cuts: set[frozenset[int]] = set()
@@ -78,8 +78,8 @@
     def _list_member(self, name: NodeId) -> Member:
         return Member(name, PlaceName(f"z{self._zone(name)}"), REGION, "", str(name))
 
-    def _name_limit(self) -> NamedLimit | None:
-        return None if self.limit is None else NamedLimit(self.limit, str(self.limit))
+    def _name_limit(self) -> AdvertisedLimit | None:
+        return None if self.limit is None else AdvertisedLimit(self.limit, str(self.limit))
 
     def find(self, name: NodeId) -> Node:
         return next(each for each in self.nodes if each.name == name)
@@ -96,7 +96,7 @@
             if not live or self.now < self.relay_silent.get(zone, 0.0):
                 continue
             relays.append(live[0])
-            if self._is_due(measure_frame_interval(size)):
+            if self._is_due(compute_frame_interval(size)):
                 for node in live[1:]:
                     self._pass_on(node, live[0])
                     self._pass_on(live[0], node)
@@ -349,7 +349,7 @@
     model.run(1.0, 20.0, even)
     told_at = model.now
     lacks = iter([True, False] * 1000)
-    model.name_limit = lambda: None if next(lacks) else NamedLimit(1.8, "1.8")
+    model.name_limit = lambda: None if next(lacks) else AdvertisedLimit(1.8, "1.8")
     model.run(20.0, 20.0, even)
     check(model, 1.8, told_at)
 
@@ -359,7 +359,7 @@
     model.run(1.0, 20.0, even)
     told_at = model.now
     flapping = iter([1.4, 5.0] * 1000)
-    model.name_limit = lambda: NamedLimit(next(flapping), "")
+    model.name_limit = lambda: AdvertisedLimit(next(flapping), "")
     model.run(20.0, 20.0, even)
     assert model.count_most(told_at) <= most_allowed(5.0)
     assert model.count_between(told_at, model.now) >= USED_SHARE * 1.4 * 20.0
--- a/packages/wrenloft-routing/tests/test_limit_ledger.py
+++ b/packages/wrenloft-routing/tests/test_limit_ledger.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wrenloft_core import IncarnationId, NodeId
-from wrenloft_policy import ANSWERS_TO_END, NamedLimit
+from wrenloft_policy import ANSWERS_TO_CLEAR_LIMIT, AdvertisedLimit
 from wrenloft_routing import LimitLedger
 
 FIRST = IncarnationId("e1@1")
@@ -19,7 +19,7 @@
 
 def observe(ledger: LimitLedger, rate: float | None, *, limit_known: bool = True) -> None:
     """Take an answer that names a rate, or none."""
-    named = None if rate is None else NamedLimit(rate, str(rate))
+    named = None if rate is None else AdvertisedLimit(rate, str(rate))
     ledger.observe(FIRST, named, limit_known=limit_known)
 
 
@@ -39,7 +39,7 @@
 
     def test_ends_after_some_answers_without_it(self, ledger: LimitLedger) -> None:
         observe(ledger, 1.8)
-        for _ in range(ANSWERS_TO_END):
+        for _ in range(ANSWERS_TO_CLEAR_LIMIT):
             assert ledger.find_rate(FIRST) == 1.8
             observe(ledger, None)
         assert ledger.find_rate(FIRST) is None
@@ -64,6 +64,6 @@
     ) -> None:
         observe(ledger, 1.8)
         with caplog.at_level(logging.INFO):
-            for _ in range(ANSWERS_TO_END * 2):
-                ledger.observe(FIRST, NamedLimit(None, "soon"), limit_known=True)
+            for _ in range(ANSWERS_TO_CLEAR_LIMIT * 2):
+                ledger.observe(FIRST, AdvertisedLimit(None, "soon"), limit_known=True)
         assert ledger.find_rate(FIRST) == 1.8
--- a/packages/wrenloft-routing/tests/test_zone.py
+++ b/packages/wrenloft-routing/tests/test_zone.py
@@ -22,7 +22,7 @@
     Signal,
     read_clock,
 )
-from wrenloft_policy import LayerSpan, RateLimit, Standing
+from wrenloft_policy import CrashStatus, LayerSpan, RateLimit
 from wrenloft_routing import (
     CrashLedger,
     Endpoint,
@@ -93,7 +93,9 @@
     st.sampled_from([ContentId("c1"), ContentId("c2")]),
     st.dictionaries(
         st.sampled_from([IncarnationId("e1@5"), IncarnationId("e2@0")]),
-        st.builds(ToldCrash, age=st.sampled_from([0.0, 1.25]), standing=st.sampled_from(Standing)),
+        st.builds(
+            ToldCrash, age=st.sampled_from([0.0, 1.25]), standing=st.sampled_from(CrashStatus)
+        ),
     ),
 )
 limit_news = st.dictionaries(
--- a/packages/wrenloft-standins/src/wrenloft_standins/strategies.py
+++ b/packages/wrenloft-standins/src/wrenloft_standins/strategies.py
@@ -3,13 +3,13 @@
 from hypothesis import strategies as st
 
 from wrenloft_core import AgentId, PlaceName, RegionName
-from wrenloft_policy import Candidate, Host
+from wrenloft_policy import Host, RunnerCandidate
 
 places = st.sampled_from([PlaceName("liptov-cave-a"), PlaceName("orava-hall-b")])
 agent_ids = st.integers(0, 60).map(lambda number: AgentId(f"agent-{number}"))
 
 candidates = st.builds(
-    Candidate,
+    RunnerCandidate,
     agent_id=agent_ids,
     place=places,
     region=st.just(RegionName("liptov")),
@@ -30,8 +30,8 @@
     labels=st.just({"service": "majster-llm"}),
     leaving=st.booleans(),
     serves=st.booleans(),
-    held=st.floats(0, 1),
-    others=st.integers(0, 3),
+    stored_share=st.floats(0, 1),
+    other_models=st.integers(0, 3),
 )
 
 host_lists = st.lists(hosts, max_size=12, unique_by=lambda each: each.agent_id)
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_duties.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_duties.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Sequence
 
-from wrenloft_policy import FEEDERS, TURN_SECONDS, list_feeders, pick_parts
+from wrenloft_policy import ORIGIN_FETCHERS, TURN_SECONDS, assign_parts, list_origin_fetchers
 from wrenloft_swarm._ports import Neighbour
 
 LEAST_AT_ORIGIN = 3
@@ -24,7 +24,7 @@
     ) -> None:
         everyone = [own, *others]
         self.addresses = sorted(each.address for each in everyone)
-        self._part_by_address = pick_parts(self.addresses, parts)
+        self._part_by_address = assign_parts(self.addresses, parts)
         self._parts = parts
         self._chunks = chunks
         near = [own, *(each for each in others if each.near)]
@@ -79,7 +79,7 @@
         :param drain_seconds: in which the origin's link carries a version; a chunk passes on to
             the next agent no sooner.
         """
-        each = max(1, FEEDERS // self._parts)
+        each = max(1, ORIGIN_FETCHERS // self._parts)
         turn = max(TURN_SECONDS, drain_seconds)
-        feeders = [list_feeders(members, late, turn, each) for members in self._at_origin]
+        feeders = [list_origin_fetchers(members, late, turn, each) for members in self._at_origin]
         return lambda chunk: feeders[self.part_of(chunk)]
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_ports.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_ports.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import Protocol
 
-from wrenloft_policy import EVERY_LAYER, LayerSpan
+from wrenloft_policy import ALL_LAYERS, LayerSpan
 from wrenloft_swarm._holdings import VersionName
 
 
@@ -25,14 +25,14 @@
     loading: bool
     pace: float
     sequence: int
-    span: LayerSpan | None = EVERY_LAYER
+    span: LayerSpan | None = ALL_LAYERS
     born: int = 0
 
     def holds(self, number: int, span: LayerSpan) -> bool:
         """Tell whether layers of a version, or of a newer one, are in service."""
         if self.version != number:
             return self.version > number
-        return self.span is not None and self.span.holds(span)
+        return self.span is not None and self.span.contains(span)
 
 
 class Urgency(Enum):
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_transfer.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_transfer.py
@@ -10,11 +10,11 @@
 
 from wrenloft_core import IntegrityError, PlatformUnavailableError, note, read_clock, warn
 from wrenloft_policy import (
+    ChunkFetch,
     ChunkSource,
-    Pick,
     choose_fetch,
-    measure_lateness,
-    measure_origin_patience,
+    compute_lateness,
+    compute_origin_timeout,
 )
 from wrenloft_swarm._duties import Duties
 from wrenloft_swarm._holdings import Holding
@@ -220,7 +220,7 @@
                 self._possessions.known[pick.address].busy += 1
             group.create_task(self._fetch(pick))
 
-    def _choose(self) -> Pick | None:
+    def _choose(self) -> ChunkFetch | None:
         now = read_clock()
         missing = [
             each for each in self._holding.missing(self._wanted) if each not in self._in_flight
@@ -242,14 +242,14 @@
             self._may_repeat_origin(duties),
             self._random,
             SOURCE_FETCHES,
-            measure_origin_patience(duties.rank_at_origin),
+            compute_origin_timeout(duties.rank_at_origin),
         )
 
     def _measure_lateness(self, now: float) -> float:
         held = self._count_any_held()
         if held > self._any_held:
             self._any_held, self._news_at = held, now
-        return measure_lateness(now - self._begun_at, now - self._news_at, self._drain_seconds)
+        return compute_lateness(now - self._begun_at, now - self._news_at, self._drain_seconds)
 
     def _may_ask_origin(self, now: float) -> bool:
         """Tell whether another fetch from the origin may start.
@@ -290,7 +290,7 @@
                 self._seen_at.setdefault(chunk, now)
         return {chunk: now - at for chunk, at in self._seen_at.items()}
 
-    async def _fetch(self, pick: Pick) -> None:
+    async def _fetch(self, pick: ChunkFetch) -> None:
         followed = self._possessions.known.get(pick.address or "")
         try:
             if pick.address is None:
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_upkeep.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_upkeep.py
@@ -12,17 +12,17 @@
 
 from wrenloft_core import ModelName, PlatformUnavailableError, note, read_clock, warn
 from wrenloft_policy import (
-    LINK_SHARE,
     SWAP_GROUPS,
+    USABLE_LINK_SHARE,
     LayerSpan,
     WantedVersion,
     choose_version,
-    is_whole_late,
+    compute_swap_turn,
     list_span_chunks,
-    must_load_part,
     pick_swap_time,
-    pick_turn,
-    predict_first_whole,
+    predict_first_complete,
+    should_fetch_parts,
+    should_load_part,
     split_layers,
 )
 from wrenloft_swarm._duties import Duties
@@ -269,7 +269,7 @@
     def _needs_part(self, state: EngineState, wanted: WantedVersion) -> bool:
         if state.span is None:
             return True
-        return must_load_part(wanted, self._means.version_seconds, read_clock())
+        return should_load_part(wanted, self._means.version_seconds, read_clock())
 
     def _is_about_to_load(self, state: EngineState) -> bool:
         """Tell whether the engine goes on to a version within a moment.
@@ -292,13 +292,13 @@
 
     def _predict_swap(self, holding: Holding, wanted: WantedVersion) -> float:
         """Return when this engine goes on to a version, which may not be whole yet."""
-        chunk_seconds = self._means.chunk_bytes / (self._means.link_rate * LINK_SHARE)
+        chunk_seconds = self._means.chunk_bytes / (self._means.link_rate * USABLE_LINK_SHARE)
         ready_at = read_clock() + len(holding.missing()) * chunk_seconds
         if not holding.missing():
             ready_at = self._ready_at.setdefault(wanted.number, ready_at)
         seconds = self._means.version_seconds
         size = len(holding.digests) * self._means.chunk_bytes
-        first_at = predict_first_whole(wanted.seen_at, size, self._means.link_rate)
+        first_at = predict_first_complete(wanted.seen_at, size, self._means.link_rate)
         return pick_swap_time(self._plan.turn, ready_at, wanted.seen_at, seconds, first_at)
 
     def _list_chunks(self, span: LayerSpan, holding: Holding) -> range:
@@ -437,11 +437,11 @@
         if state is None or state.span is None:
             return False  # others serve, and take more requests without this one in chains
         missing = len(holding.missing()) * self._means.chunk_bytes
-        return is_whole_late(
+        return should_fetch_parts(
             self._current,
             self._means.version_seconds,
             read_clock(),
-            missing / (self._means.link_rate * LINK_SHARE),
+            missing / (self._means.link_rate * USABLE_LINK_SHARE),
         )
 
     def _make_plan(self, *, split: bool) -> LoadPlan:
@@ -452,7 +452,7 @@
         if len(parts) == 1:
             parts = [LayerSpan(0, means.layers)]
         index = addresses.index(means.own.address)
-        turn = pick_turn(index, len(addresses))
+        turn = compute_swap_turn(index, len(addresses))
         return LoadPlan(parts[index % len(parts)], len(parts), index % SWAP_GROUPS, turn)
 
     async def _fetch(self, holding: Holding, wanted: range, urgency: Urgency) -> bool:
--- a/packages/wrenloft-swarm/tests/test_swarm.py
+++ b/packages/wrenloft-swarm/tests/test_swarm.py
@@ -12,7 +12,7 @@
 from aiohttp import ClientSession, web
 
 from wrenloft_core import IntegrityError, ModelName, Pacer, PlatformUnavailableError
-from wrenloft_policy import EVERY_LAYER, LayerSpan, list_span_chunks
+from wrenloft_policy import ALL_LAYERS, LayerSpan, list_span_chunks
 from wrenloft_swarm import (
     EngineState,
     Holding,
@@ -82,7 +82,7 @@
     rot: set[int] = field(default_factory=set)
     busy: int = 0
     spans: list[LayerSpan] = field(default_factory=list)
-    span: LayerSpan | None = EVERY_LAYER
+    span: LayerSpan | None = ALL_LAYERS
     draining: asyncio.Event | None = None
 
     async def report(self) -> EngineState:
--- a/packages/wrenloft/src/wrenloft/_view.py
+++ b/packages/wrenloft/src/wrenloft/_view.py
@@ -6,7 +6,7 @@
 
 from wrenloft_core import AgentId, ModelName, NodeId, PlaceName, RegionName, Selector
 from wrenloft_messages import messages
-from wrenloft_policy import Candidate, EntryNode, Host, matches
+from wrenloft_policy import EntryNode, Host, RunnerCandidate, matches
 
 _FORGET_SECONDS = 60.0
 
@@ -161,10 +161,12 @@
         """
         return [each for each in entries if self.is_fresh(each, now)] or entries
 
-    def describe_candidate(self, entry: AgentEntry, prefix: int | None, now: float) -> Candidate:
+    def describe_candidate(
+        self, entry: AgentEntry, prefix: int | None, now: float
+    ) -> RunnerCandidate:
         """Return what the choice of a runner needs."""
         record = entry.record
-        return Candidate(
+        return RunnerCandidate(
             agent_id=entry.agent_id,
             place=PlaceName(record.place),
             region=RegionName(record.region),
@@ -185,8 +187,8 @@
                 labels=entry.labels,
                 leaving=entry.record.phase == messages.PHASE_LEAVING,
                 serves=entry.serves(model),
-                held=1.0 if entry.version_of(model) == version else 0.0,
-                others=sum(each.model != model for each in entry.record.served),
+                stored_share=1.0 if entry.version_of(model) == version else 0.0,
+                other_models=sum(each.model != model for each in entry.record.served),
             )
             for entry in self.agents.values()
             if self.is_fresh(entry, now)
--- a/packages/wrenloft/src/wrenloft/callers/_router.py
+++ b/packages/wrenloft/src/wrenloft/callers/_router.py
@@ -24,11 +24,11 @@
     decide,
 )
 from wrenloft_policy import (
-    Candidate,
-    Chosen,
     Ejections,
     FairQueue,
-    Ticket,
+    QueuedRequest,
+    RunnerCandidate,
+    RunnerChoice,
     TokenBucket,
     admit,
     choose_least_reported,
@@ -39,7 +39,9 @@
     estimate_wait,
 )
 
-ChooseRunner = Callable[[Sequence[Candidate], PlaceName, RegionName, Random], Chosen | None]
+ChooseRunner = Callable[
+    [Sequence[RunnerCandidate], PlaceName, RegionName, Random], RunnerChoice | None
+]
 
 _PUMP_SECONDS = 0.02
 _SERVICE_SMOOTHING = 0.1
@@ -55,11 +57,11 @@
     turns = itertools.count()
 
     def choose_next(
-        candidates: Sequence[Candidate], place: PlaceName, region: RegionName, random: Random
-    ) -> Chosen | None:
+        candidates: Sequence[RunnerCandidate], place: PlaceName, region: RegionName, random: Random
+    ) -> RunnerChoice | None:
         if not candidates:
             return None
-        return Chosen(candidates[next(turns) % len(candidates)].agent_id, "next in turn")
+        return RunnerChoice(candidates[next(turns) % len(candidates)].agent_id, "next in turn")
 
     return {
         Choice.TWO_CANDIDATES: choose_runner,
@@ -74,8 +76,8 @@
     """Requests that wait for one target."""
 
     queue: FairQueue = field(default_factory=FairQueue)
-    turns: dict[Ticket, asyncio.Future[AgentEntry]] = field(default_factory=dict)
-    requests: dict[Ticket, CallerRequest] = field(default_factory=dict)
+    turns: dict[QueuedRequest, asyncio.Future[AgentEntry]] = field(default_factory=dict)
+    requests: dict[QueuedRequest, CallerRequest] = field(default_factory=dict)
     service_seconds: float = 0.5
     pump: asyncio.Task[None] | None = None
     freed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -181,7 +183,7 @@
             line.service_seconds += _SERVICE_SMOOTHING * (seconds - line.service_seconds)
         line.freed.set()
 
-    def explain(self, request: CallerRequest) -> list[tuple[Candidate, bool]]:
+    def explain(self, request: CallerRequest) -> list[tuple[RunnerCandidate, bool]]:
         """Return all candidates for a request, each with whether it has room."""
         now = asyncio.get_running_loop().time()
         entries = self._list_entries(request, frozenset())
@@ -218,7 +220,7 @@
         kept = self.ejections.filter([each.agent_id for each in entries], now)
         return [each for each in entries if each.agent_id in kept - excluded]
 
-    def _has_room(self, candidate: Candidate, priority: Priority) -> bool:
+    def _has_room(self, candidate: RunnerCandidate, priority: Priority) -> bool:
         """Tell whether a request may go there now.
 
         Beyond its capacity a runner only lets requests wait where this node can no longer put a
@@ -274,7 +276,7 @@
             return self._refuse("queue", "organisation's queue is full", expected)
         if now + expected >= request.deadline:
             return self._refuse("queue", "deadline can't be met", expected)
-        ticket = Ticket(request.request_id, name, priority, request.deadline)
+        ticket = QueuedRequest(request.request_id, name, priority, request.deadline)
         turn: asyncio.Future[AgentEntry] = asyncio.get_running_loop().create_future()
         line.turns[ticket] = turn
         line.requests[ticket] = request
--- a/packages/wrenloft/src/wrenloft/callers/_runs.py
+++ b/packages/wrenloft/src/wrenloft/callers/_runs.py
@@ -46,11 +46,11 @@
             return False
         if request.priority is Priority.ALARM:
             return True
-        return self._budget(request).spend(now)
+        return self._budget(request).withdraw(now)
 
     def count_first(self, request: CallerRequest) -> None:
         """Count a first attempt towards the budget."""
-        self._budget(request).earn()
+        self._budget(request).deposit()
 
     async def back_off(self, attempts: int) -> None:
         """Wait before another attempt."""
--- a/packages/wrenloft/src/wrenloft/platform/_membership.py
+++ b/packages/wrenloft/src/wrenloft/platform/_membership.py
@@ -103,7 +103,7 @@
 
     def holds_lease(self) -> bool:
         """Tell whether anything may be done under the lease now."""
-        return self.lease.holds(asyncio.get_running_loop().time())
+        return self.lease.is_valid(asyncio.get_running_loop().time())
 
     def poll_soon(self) -> None:
         """Read the tables at once instead of at the next turn."""
--- a/packages/wrenloft/tests/test_shards.py
+++ b/packages/wrenloft/tests/test_shards.py
@@ -212,4 +212,4 @@
     @pytest.mark.parametrize(("now", "holds"), [(0.0, True), (8.4, True), (8.6, False)])
     def test_ends_before_the_service_ends_it(self, now: float, holds: bool) -> None:
         """The holder counts from before it sent the renewal, less a margin."""
-        assert Lease(seconds=10.0, sent_at=0.0).holds(now) is holds
+        assert Lease(seconds=10.0, sent_at=0.0).is_valid(now) is holds
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -10,7 +10,7 @@
 from wrenloft_core import AgentId, ConfigurationError, PlaceName, RegionName, ServiceName
 from wrenloft_platform._decode import decode_named_version, decode_report, decode_table
 from wrenloft_platform._follow import EndpointEntries
-from wrenloft_policy import EVERY_LAYER, LayerSpan
+from wrenloft_policy import ALL_LAYERS, LayerSpan
 from wrenloft_routing import Endpoint, Item, Reading
 
 REGIONS = {PlaceName("z1"): RegionName("r1")}
@@ -130,7 +130,7 @@
     def test_engine_that_tells_no_layers_holds_all(self) -> None:
         """Engines of other deployments load models whole."""
         (found,) = _decode(_entry("a", 1))
-        assert found.span == EVERY_LAYER
+        assert found.span == ALL_LAYERS
 
 
 class TestDecodeReport:
--- a/tests/platform/test_holds.py
+++ b/tests/platform/test_holds.py
@@ -11,13 +11,13 @@
 from wrenloft_platform import _holds
 from wrenloft_platform._holds import StoredHolds, decode_holds, encode_hold
 from wrenloft_platform._store import StoreClient
-from wrenloft_policy import TRIAL_SECONDS, Standing
+from wrenloft_policy import PROBE_INTERVAL_SECONDS, CrashStatus
 from wrenloft_routing import Item, Reading, ToldCrash
 
 from .conftest import StandinStore
 
 CONTENT = ContentId("c")
-CRASHES = {IncarnationId("e@1"): ToldCrash(1.5, Standing.COUNTS)}
+CRASHES = {IncarnationId("e@1"): ToldCrash(1.5, CrashStatus.COUNTED)}
 KEY = "wrenloft/held/c"
 BAD_ENTRIES = [
     b"",
@@ -85,7 +85,7 @@
     """Both find at the same moment that a minute has passed; one request is let through."""
     first, second = StoredHolds(client), StoredHolds(client)
     claims = await asyncio.gather(
-        first.claim(CONTENT, TRIAL_SECONDS), second.claim(CONTENT, TRIAL_SECONDS)
+        first.claim(CONTENT, PROBE_INTERVAL_SECONDS), second.claim(CONTENT, PROBE_INTERVAL_SECONDS)
     )
     assert sorted(claims) == [False, True]
 
@@ -93,7 +93,7 @@
 async def test_no_trial_without_the_store(client: StoreClient, store: StandinStore) -> None:
     """Nobody can tell whether another node has it, so nobody does."""
     store.refuse = True
-    assert not await StoredHolds(client).claim(CONTENT, TRIAL_SECONDS)
+    assert not await StoredHolds(client).claim(CONTENT, PROBE_INTERVAL_SECONDS)
 
 
 @pytest.mark.parametrize("value", BAD_ENTRIES)
