--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -190,11 +190,11 @@
         f"{NODE_TESTS}/test_requests.py::TestClaim::test_grants_after_a_lost_reply",
     ),
     Safeguard(
-        "an organisation that was idle saves up nothing",
+        "an organisation that was idle accumulates no credit",
         f"{POLICY}/_queue.py",
-        "self._served[ticket.organisation] = max(served, floor)",
-        "self._served[ticket.organisation] = served",
-        f"{POLICY_TESTS}/test_limits.py::TestFairQueue::test_an_idle_organisation_saves_up_nothing",
+        "self._served[request.organisation] = max(served, least_served)",
+        "self._served[request.organisation] = served",
+        f"{POLICY_TESTS}/test_limits.py::TestFairQueue::test_idle_organisation_accumulates_no_credit",
     ),
     Safeguard(
         "half of the runners are never ejected",
--- a/packages/wrenloft-policy/src/wrenloft_policy/_admission.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_admission.py
@@ -1,4 +1,4 @@
-"""Limits per organisation, held at each node without a shared counter."""
+"""Limits per organisation, enforced at each node without a shared counter."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 from wrenloft_core import Limits, NodeId, NotRun, Priority
 
-_DEMAND_FLOOR = 0.1
+_MIN_DEMAND_SHARE = 0.1
 _BURST_SECONDS = 1.0
 
 
@@ -22,18 +22,18 @@
 def divide_limits(
     limits: Limits, demand: Mapping[NodeId, float], node_id: NodeId, node_count: int
 ) -> LimitShare:
-    """Return this node's share, in proportion to recent demand.
+    """Return this node's share of the limits, in proportion to recent demand.
 
-    Every node keeps at least a tenth of an equal share: a caller that moves to a node without
-    recent demand would otherwise be refused until demand had been exchanged.
+    Every node keeps at least a tenth of an equal share. Otherwise, a caller that moves to a node
+    without recent demand would be refused until the nodes have exchanged their demand.
 
-    :param demand: requests a second by node, as last heard.
+    :param demand: requests a second by node, as last reported.
     """
     count = max(1, node_count)
     own = demand.get(node_id, 0.0)
     total = sum(demand.values())
     proportional = own / total if total > 0 else 1.0 / count
-    fraction = _DEMAND_FLOOR / count + (1.0 - _DEMAND_FLOOR) * proportional
+    fraction = _MIN_DEMAND_SHARE / count + (1.0 - _MIN_DEMAND_SHARE) * proportional
     return LimitShare(
         rate=limits.rate * fraction,
         concurrent=max(1, round(limits.concurrent * fraction)),
@@ -42,7 +42,7 @@
 
 
 class TokenBucket:
-    """Allows ``rate`` requests a second with bursts of one second's worth."""
+    """Allow ``rate`` requests a second with bursts of up to one second's tokens."""
 
     def __init__(self, now: float) -> None:
         self._tokens: float | None = None
@@ -51,7 +51,7 @@
     def take(self, rate: float, now: float) -> float:
         """Take one token.
 
-        :returns: 0.0 if there was one, else the seconds until there will be one.
+        :returns: 0.0 if one was available, else the seconds until one is.
         """
         burst = max(1.0, rate * _BURST_SECONDS)
         tokens = burst if self._tokens is None else self._tokens
@@ -71,12 +71,12 @@
     now: float,
     random: Random,
 ) -> NotRun | None:
-    """Decide whether an organisation's request may enter.
+    """Decide whether an organisation's request is admitted.
 
-    Alarms are never limited: a caller is granted the class by configuration, and an alarm that
-    is refused is an alarm that stays silent.
+    Alarms are never limited: the configuration grants this class to callers, and a refused alarm
+    would not sound.
 
-    :returns: the refusal, or ``None`` to let it in.
+    :returns: the refusal, or ``None`` if the request is admitted.
     """
     if priority is Priority.ALARM:
         return None
--- a/packages/wrenloft-policy/src/wrenloft_policy/_ejection.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_ejection.py
@@ -1,4 +1,4 @@
-"""Leaving out runners that fail, but never all of them."""
+"""Ejection of runners that fail, but never of all of them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionRule:
-    """When a runner is left out.
+    """When and for how long a runner is ejected.
 
-    :param failures: failures in a row.
-    :param base_seconds: for how long, doubled by each ejection in a row.
-    :param max_seconds: the most seconds.
-    :param min_kept_share: the least fraction of runners always kept.
+    :param failures: consecutive failures until ejection.
+    :param base_seconds: duration of an ejection, doubled by each consecutive one.
+    :param max_seconds: longest ejection.
+    :param min_kept_share: smallest fraction of the runners that is never ejected.
     """
 
     failures: int = 2
@@ -30,7 +30,7 @@
 
 
 class Ejections:
-    """Failures seen by this node, by runner."""
+    """Failures observed by this node, by runner."""
 
     def __init__(self, rule: EjectionRule = EjectionRule()) -> None:
         self._rule = rule
@@ -41,7 +41,7 @@
         self._histories.pop(agent_id, None)
 
     def record_failure(self, agent_id: AgentId, now: float) -> None:
-        """Count a failure to connect or to answer."""
+        """Count a failure to connect or to respond."""
         history = self._histories.setdefault(agent_id, _History())
         history.failures += 1
         if history.failures >= self._rule.failures:
@@ -51,10 +51,10 @@
             history.failures = 0
 
     def filter(self, agent_ids: Sequence[AgentId], now: float) -> set[AgentId]:
-        """Return the runners to use.
+        """Return the runners that can be used.
 
-        If too many are ejected, the fault lies more likely with this node's own link than with
-        all runners; then those whose ejection ends first are kept, so that requests go on.
+        If most runners fail, the fault is more likely in this node's own link. Those whose ejection
+        ends first are then kept, so that requests are still sent.
         """
         kept = [each for each in agent_ids if self._ejected_until(each) <= now]
         min_kept = -(-len(agent_ids) * self._rule.min_kept_share // 1)
--- a/packages/wrenloft-policy/src/wrenloft_policy/_queue.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait at a node for a runner: bounded, fair, and refused early."""
+"""Fair queue of the requests that wait at a node for a runner."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass
@@ -20,10 +20,10 @@
 
 
 class FairQueue:
-    """Waiting requests: by class, then the organisation served least, then by deadline.
+    """Waiting requests, by class, then by the least served organisation, then by deadline.
 
-    Within a class every organisation gets an equal part whatever it sends, so that one
-    organisation's flood fills its own queue and not the others'.
+    Within a class, every organisation gets an equal share whatever it sends, so that one
+    organisation's flood fills its own queue only.
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         return sum(len(queue) for queues in self._waiting.values() for queue in queues.values())
 
     def count_ahead(self, organisation: OrganisationName, priority: Priority) -> int:
-        """Estimate how many requests would be served before one that arrives now."""
+        """Estimate the number of requests that are served before one that arrives now."""
         ahead = sum(
             len(queue)
             for other, queues in self._waiting.items()
@@ -48,46 +48,46 @@
         return ahead + sum(min(len(queue), own + 1) for queue in queues.values())
 
     def count(self, organisation: OrganisationName) -> int:
-        """Return how many requests of an organisation wait."""
+        """Return the number of waiting requests of an organisation."""
         return sum(len(queues.get(organisation, [])) for queues in self._waiting.values())
 
-    def push(self, ticket: QueuedRequest) -> None:
+    def push(self, request: QueuedRequest) -> None:
         """Add a request."""
-        queues = self._waiting[ticket.priority]
-        if ticket.organisation not in queues:
-            queues[ticket.organisation] = []
-            # An organisation that was idle starts level with the others; with its old, lower
-            # count it would hold the queue until it had caught up on time it never asked for.
+        queues = self._waiting[request.priority]
+        if request.organisation not in queues:
+            queues[request.organisation] = []
+            # An organisation that was idle starts level with the others. With its old, lower
+            # count it would be served alone until it has caught up.
             active = [self._served.get(other, 0.0) for other in queues if other in self._served]
-            floor = min(active, default=0.0)
-            served = self._served.get(ticket.organisation, 0.0)
-            self._served[ticket.organisation] = max(served, floor)
-        queues[ticket.organisation].append(ticket)
+            least_served = min(active, default=0.0)
+            served = self._served.get(request.organisation, 0.0)
+            self._served[request.organisation] = max(served, least_served)
+        queues[request.organisation].append(request)
 
     def pop(self) -> QueuedRequest | None:
-        """Take the request that is next, or ``None``."""
+        """Remove and return the next request, or ``None``."""
         for queues in self._waiting.values():
             if queues:
                 organisation = min(queues, key=lambda each: self._served.get(each, 0.0))
-                ticket = min(queues[organisation], key=lambda each: each.deadline)
+                request = min(queues[organisation], key=lambda each: each.deadline)
                 self._served[organisation] = self._served.get(organisation, 0.0) + 1.0
-                self.remove(ticket)
-                return ticket
+                self.remove(request)
+                return request
         return None
 
-    def push_back(self, ticket: QueuedRequest) -> None:
+    def push_back(self, request: QueuedRequest) -> None:
         """Undo a :meth:`pop` whose request could not be served."""
-        self.push(ticket)
-        self._served[ticket.organisation] -= 1.0
-
-    def remove(self, ticket: QueuedRequest) -> None:
-        """Take out a request that no longer waits; nothing happens if it is not there."""
-        queues = self._waiting[ticket.priority]
-        queue = queues.get(ticket.organisation, [])
-        if ticket in queue:
-            queue.remove(ticket)
+        self.push(request)
+        self._served[request.organisation] -= 1.0
+
+    def remove(self, request: QueuedRequest) -> None:
+        """Remove a request, if present."""
+        queues = self._waiting[request.priority]
+        queue = queues.get(request.organisation, [])
+        if request in queue:
+            queue.remove(request)
         if not queue:
-            queues.pop(ticket.organisation, None)
+            queues.pop(request.organisation, None)
 
 
 def estimate_wait(ahead: int, capacity: int, service_seconds: float) -> float:
--- a/packages/wrenloft-policy/src/wrenloft_policy/_retry.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_retry.py
@@ -1,4 +1,4 @@
-"""How often and when a request is tried again."""
+"""Retry budget and backoff."""
 
 from random import Random
 
@@ -7,16 +7,16 @@
 
 
 class RetryBudget:
-    """Allows further attempts as a fraction of first attempts.
+    """Limits retries to a fraction of first attempts.
 
-    Without it, a fault that fails every attempt doubles or triples the load at the moment when
-    the fleet can carry least; the budget bounds the extra load to ``ratio``. The few attempts
-    a second that come on top let an organisation with little traffic try again at all.
+    Without it, a fault that fails every attempt doubles or triples the load while the fleet has the
+    least capacity; the budget bounds the extra load to ``ratio``. The retries that accrue over time
+    let an organisation with little traffic retry at all.
 
     :param now: monotonic time, in seconds.
-    :param ratio: further attempts earned by each first attempt.
-    :param deposit_rate: further attempts earned each second.
-    :param max_tokens: most that can be saved, and what it begins with.
+    :param ratio: retries deposited by each first attempt.
+    :param deposit_rate: retries deposited each second.
+    :param max_tokens: most retries that can accumulate; the budget starts with as many.
     """
 
     def __init__(
@@ -29,11 +29,14 @@
         self._updated_at = now
 
     def deposit(self) -> None:
-        """Count one first attempt."""
+        """Record a first attempt."""
         self._tokens = min(self._max_tokens, self._tokens + self._ratio)
 
     def withdraw(self, now: float) -> bool:
-        """Take one further attempt, if the budget allows it."""
+        """Withdraw one retry.
+
+        :returns: whether the budget allows it.
+        """
         self._tokens = min(
             self._max_tokens, self._tokens + (now - self._updated_at) * self._deposit_rate
         )
@@ -45,5 +48,5 @@
 
 
 def pick_backoff(attempt: int, random: Random) -> float:
-    """Return seconds to wait before attempt number ``attempt``, with full jitter."""
+    """Return the seconds to wait before attempt number ``attempt``, with full jitter."""
     return random.uniform(0.0, min(_BACKOFF_CAP_SECONDS, _BACKOFF_BASE_SECONDS * 2**attempt))
--- a/packages/wrenloft-policy/tests/test_limits.py
+++ b/packages/wrenloft-policy/tests/test_limits.py
@@ -18,10 +18,10 @@
     divide_limits,
 )
 
-_SHARE = LimitShare(rate=2.0, concurrent=3, queue=4)
+_LIMITS = LimitShare(rate=2.0, concurrent=3, queue=4)
 
 
-def _ticket(
+def _queued_request(
     number: int, organisation: str, priority: Priority = Priority.INTERACTIVE
 ) -> QueuedRequest:
     return QueuedRequest(number, OrganisationName(organisation), priority, deadline=float(number))
@@ -30,14 +30,14 @@
 class TestAdmit:
     """Tests for ``admit``."""
 
-    def test_never_refuses_an_alarm(self) -> None:
-        """An organisation has used up every limit; its door alarm still gets in."""
+    def test_admits_alarms_beyond_every_limit(self) -> None:
+        """Guards against refusing an alarm of an organisation that has used up its limits."""
         bucket = TokenBucket(0.0)
         for priority, refused in ((Priority.BATCH, True), (Priority.ALARM, False)):
             refusal = admit(
                 priority,
                 bucket=bucket,
-                share=_SHARE,
+                share=_LIMITS,
                 in_progress=99,
                 spread_seconds=2.0,
                 now=0.0,
@@ -45,8 +45,8 @@
             )
             assert (refusal is not None) is refused
 
-    def test_spreads_the_returns_of_those_refused(self) -> None:
-        """Refused callers come back spread over time, not all in the same moment."""
+    def test_spreads_retries_of_refused_callers(self) -> None:
+        """Guards against refused callers that all retry at the same moment."""
         bucket = TokenBucket(0.0)
         random = Random(1)
         delays = set()
@@ -54,7 +54,7 @@
             refusal = admit(
                 Priority.BATCH,
                 bucket=bucket,
-                share=_SHARE,
+                share=_LIMITS,
                 in_progress=0,
                 spread_seconds=2.0,
                 now=0.0,
@@ -83,27 +83,27 @@
 class TestFairQueue:
     """Tests for ``FairQueue``."""
 
-    def test_a_flood_does_not_delay_others(self) -> None:
-        """One organisation sends a thousand reports, then another sends one.
+    def test_flood_of_one_organisation_does_not_delay_others(self) -> None:
+        """One organisation queues a thousand requests, then another queues one.
 
-        The one is served second, not after the thousand.
+        That one is served among the first three.
         """
         queue = FairQueue()
         for number in range(1000):
-            queue.push(_ticket(number, "flood"))
-        queue.push(_ticket(2000, "quiet"))
+            queue.push(_queued_request(number, "flood"))
+        queue.push(_queued_request(2000, "quiet"))
         served = [queue.pop() for _ in range(3)]
         assert "quiet" in {each.organisation for each in served if each}
 
-    def test_an_idle_organisation_saves_up_nothing(self) -> None:
-        """After hours of silence an organisation gets its equal part, not everything at once."""
+    def test_idle_organisation_accumulates_no_credit(self) -> None:
+        """Guards against serving an organisation alone after it was idle for long."""
         queue = FairQueue()
         for number in range(100):
-            queue.push(_ticket(number, "busy"))
+            queue.push(_queued_request(number, "busy"))
             queue.pop()
         for number in range(10):
-            queue.push(_ticket(number, "busy"))
-            queue.push(_ticket(number, "returned"))
+            queue.push(_queued_request(number, "busy"))
+            queue.push(_queued_request(number, "returned"))
         served = [queue.pop() for _ in range(10)]
         counts = [each.organisation for each in served if each]
         assert 4 <= counts.count(OrganisationName("returned")) <= 6
@@ -112,13 +112,13 @@
     def test_serves_classes_in_order_and_loses_nothing(
         self, entries: list[tuple[str, Priority]]
     ) -> None:
-        """Every request comes out exactly once, the more urgent class always first."""
+        """Every request is served exactly once, more urgent classes first."""
         queue = FairQueue()
         for number, (organisation, priority) in enumerate(entries):
-            queue.push(_ticket(number, organisation, priority))
+            queue.push(_queued_request(number, organisation, priority))
         served = []
-        while ticket := queue.pop():
-            served.append(ticket)
+        while request := queue.pop():
+            served.append(request)
         assert sorted(each.key for each in served) == list(range(len(entries)))  # type: ignore[type-var]
         ranks = [each.priority.rank for each in served]
         assert ranks == sorted(ranks)
@@ -127,8 +127,8 @@
 class TestRetryBudget:
     """Tests for ``RetryBudget``."""
 
-    def test_bounds_attempts_when_everything_fails(self) -> None:
-        """Every attempt of a thousand requests fails: at most a tenth more are sent."""
+    def test_bounds_retries_when_every_attempt_fails(self) -> None:
+        """Retries add at most a tenth to a thousand requests whose attempts all fail."""
         budget = RetryBudget(now=0.0)
         retries = 0
         for _ in range(1000):
@@ -136,8 +136,8 @@
             retries += budget.withdraw(now=0.0)
         assert retries <= 110
 
-    def test_lets_a_small_organisation_retry_after_a_while(self) -> None:
-        """A budget that was spent in an outage does not refuse one request a minute for ever."""
+    def test_recovers_without_first_attempts(self) -> None:
+        """Guards against a budget that stays empty after an outage at one request a minute."""
         budget = RetryBudget(now=0.0)
         while budget.withdraw(now=0.0):
             pass
@@ -148,15 +148,15 @@
     """Tests for ``Ejections``."""
 
     def test_never_ejects_all(self) -> None:
-        """This node's own link fails, so every runner seems to fail; half of them are kept."""
+        """Guards against ejecting every runner because this node's own link fails."""
         agents = [AgentId(f"a{number}") for number in range(6)]
         ejections = Ejections(EjectionRule(failures=1))
         for each in agents:
             ejections.record_failure(each, now=0.0)
         assert len(ejections.filter(agents, now=0.1)) == 3
 
-    def test_takes_back_a_runner_that_answers(self) -> None:
-        """One success ends an ejection's history."""
+    def test_success_ends_the_ejection(self) -> None:
+        """One success clears a runner's failures and its ejection."""
         agents = [AgentId("a"), AgentId("b"), AgentId("c")]
         ejections = Ejections(EjectionRule(failures=1))
         ejections.record_failure(agents[0], now=0.0)
