--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -650,11 +650,11 @@
         f"{ROUTING_TESTS}/test_crash_ledger.py::TestHold::test_one_fall_told_by_many_is_one_crash",
     ),
     Safeguard(
-        "an excuse goes before a crash, in any order",
+        "a cleared crash stays cleared, in any order",
         f"{POLICY}/_crashes.py",
         "status=max(known.status, reported.status)",
         "status=reported.status",
-        f"{POLICY_TESTS}/test_crashes.py::test_words_join_to_the_same_in_any_order",
+        f"{POLICY_TESTS}/test_crashes.py::test_reports_merge_to_the_same_in_any_order",
     ),
     Safeguard(
         "contents with crashes are bounded",
@@ -681,11 +681,11 @@
         "::test_poll_in_progress_at_each_engine_of_a_rack_is_not_held_back",
     ),
     Safeguard(
-        "a worse content explains its victims",
+        "a content with more crashes explains those it shares",
         f"{POLICY}/_crashes.py",
         "unexplained -= other_counted",
         "pass",
-        f"{POLICY_TESTS}/test_crashes.py::test_victim_of_a_worse_request_is_not_counted",
+        f"{POLICY_TESTS}/test_crashes.py::test_crashes_explained_by_another_content_do_not_count",
     ),
     Safeguard(
         "a hold is stored by whoever saw a crash",
@@ -702,7 +702,7 @@
         f"{ROUTING_TESTS}/test_crash_guard.py::test_one_trial_a_minute_in_the_whole_fleet",
     ),
     Safeguard(
-        "trials grow seldomer with each crash",
+        "probes become rarer with each crash",
         f"{POLICY}/_crashes.py",
         "PROBE_INTERVAL_SECONDS * 2.0**extra_crashes",
         "PROBE_INTERVAL_SECONDS",
@@ -853,20 +853,20 @@
         "::test_answers_to_requests_sent_before_do_not_end_it",
     ),
     Safeguard(
-        "of two beliefs on a limit the later one holds",
+        "of two updates on a limit the later one holds",
         f"{POLICY}/_rate_limits.py",
         "if known is None or (reported.sequence, reported.node) > (known.sequence, known.node):",
         "if True:",
-        f"{POLICY_TESTS}/test_rate_limits.py::TestJoinLimit"
-        "::test_nodes_agree_in_whichever_order_they_hear",
+        f"{POLICY_TESTS}/test_rate_limits.py::TestMergeLimit"
+        "::test_nodes_agree_in_any_order_of_updates",
     ),
     Safeguard(
-        "parts of a split fleet share a limit",
+        "partitions of a fleet share a limit",
         f"{POLICY}/_rate_limits.py",
         "return rate * MINORITY_SHARE * fleet.share",
         "return rate",
-        f"{POLICY_TESTS}/test_rate_limits.py::TestAllotRate"
-        "::test_two_parts_of_a_split_fleet_leave_room_for_their_bursts",
+        f"{POLICY_TESTS}/test_rate_limits.py::TestAllocateRate"
+        "::test_two_partitions_leave_capacity_for_bursts",
     ),
     Safeguard(
         "a bucket holds little",
@@ -874,7 +874,7 @@
         "return Bucket(min(compute_burst_size(rate), bucket.tokens + refill), now)",
         "return Bucket(bucket.tokens + earned, now)",
         f"{POLICY_TESTS}/test_rate_limits.py::TestRefillBucket"
-        "::test_holds_little_however_long_nobody_came",
+        "::test_burst_is_bounded_after_idle_time",
     ),
     Safeguard(
         "a limit binds one incarnation",
--- a/packages/wrenloft-policy/src/wrenloft_policy/_crashes.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_crashes.py
@@ -1,4 +1,4 @@
-"""Which requests count as crashing the endpoints that run them."""
+"""Attribution of endpoint crashes to the request contents that cause them."""
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -7,29 +7,34 @@
 from wrenloft_core import IncarnationId
 
 CRASHES_TO_QUARANTINE = 3
-"""Endpoints that fall under one content before it is held back. A request is in progress at one or
-two that fall by chance; each further one takes a share of the fleet from everybody."""
+"""Crashes with a content in progress before the content is quarantined. A request may be in
+progress at one or two crashes by chance; each further crash costs all callers a share of the fleet.
+"""
 
 CRASH_TTL_SECONDS = 600.0
-"""How long a crash counts. A caller repeats a failing request for seconds to minutes; one whose
-repeats are further apart costs one engine in ten minutes, which is back within ten seconds."""
+"""Time for which a crash counts. Callers retry a failing request for seconds to minutes. A content
+repeated less often costs one engine in ten minutes, which recovers within ten seconds."""
 
 PROBE_INTERVAL_SECONDS = 60.0
-"""From the third crash of a content until it is tried once more, in the whole fleet; doubled by
-each further crash. A trial costs one engine for ten seconds at the worst. Whatever was held back
-wrongly has three crashes and is found out within a minute; the more engines fell, the surer it is
-that the next one falls too."""
+"""Time from the third crash of a content until one probe in the whole fleet; doubled by each
+further crash. A probe costs at most one engine for ten seconds. A content that is quarantined
+wrongly has three crashes and is released within a minute; each further crash makes it more likely
+that the content is the cause."""
 
 MAX_PROBE_INTERVAL_SECONDS = 480.0
-"""Longest such wait: a trial comes while the crashes before it still count."""
+"""Longest such time, so that a probe comes while the earlier crashes still count."""
 
 SUCCESS_TTL_SECONDS = 10.0
-"""How long a whole answer speaks for its content. Whatever is polled has one more often than that;
-longer, a content that begins to crash endpoints would go on for as long."""
+"""Time for which a complete response clears its content. A polled content has one more often. With
+a longer time, a content that starts to crash endpoints would continue for as long."""
 
 
 class CrashStatus(IntEnum):
-    """Whether a crash counts against a content; of two opinions the higher one holds."""
+    """Whether a crash counts against a content; of two values the higher one wins.
+
+    ``SUCCEEDED`` means that the content had a complete response, ``LIFTED`` that its quarantine was
+    lifted.
+    """
 
     COUNTED = 0
     SUCCEEDED = 1
@@ -38,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The fall of an endpoint at which a content was in progress.
+    """The crash of an endpoint with a content in progress.
 
-    :param at: on this node's clock.
+    :param at: time on this node's clock, in seconds.
     """
 
     at: float
@@ -48,11 +53,11 @@
 
 
 Crashes = Mapping[IncarnationId, Crash]
-"""The crashes of one content. Told by several nodes, the fall of one incarnation is one crash."""
+"""The crashes of one content. Several reports of the crash of one incarnation are one crash."""
 
 
 def list_counted_crashes(crashes: Crashes, now: float) -> set[IncarnationId]:
-    """Return the crashes that count against a content now."""
+    """Return the incarnations whose crashes count against a content now."""
     return {
         incarnation
         for incarnation, crash in crashes.items()
@@ -61,13 +66,13 @@
 
 
 def count_unexplained_crashes(crashes: Crashes, others: Iterable[Crashes], now: float) -> int:
-    """Return the crashes of a content that no worse one explains.
+    """Return the number of crashes of a content that no content with more crashes explains.
 
-    A request that crashes engines takes with it whatever else runs there. While it is repeated, an
-    innocent one that is tried again can be present three times; the guilty one is present each
-    time, so it has more crashes, and accounts for those that both have.
+    A request that crashes an engine aborts all others there. While it is repeated, another content
+    that is retried can be in progress at three crashes. The cause is present at every crash, so it
+    has more of them, and explains those that both have in common.
 
-    :param others: the crashes of the other contents that may be held back.
+    :param others: the crashes of the other contents that may be quarantined.
     """
     counted = list_counted_crashes(crashes, now)
     unexplained = set(counted)
@@ -79,22 +84,22 @@
 
 
 def merge_crash(known: Crash | None, reported: Crash) -> Crash:
-    """Return what two words on the same crash say together, in whichever order they come."""
+    """Merge two reports of the same crash; the order does not matter."""
     if known is None:
         return reported
     return replace(known, status=max(known.status, reported.status))
 
 
 def is_cleared_by_success(success_at: float | None, crash_at: float) -> bool:
-    """Tell whether a whole answer was so late before a crash, or after it, that it counts more."""
+    """Return whether a complete response shortly before a crash, or after it, outweighs it."""
     return success_at is not None and crash_at - success_at < SUCCESS_TTL_SECONDS
 
 
 def compute_probe_delay(crash_ats: Collection[float], probe_at: float, now: float) -> float:
-    """Return the seconds until a content that is held back may be tried once more.
+    """Return the seconds until a quarantined content may be probed.
 
-    :param crash_ats: when endpoints fell under it.
-    :param probe_at: when this node last knew of a trial.
+    :param crash_ats: times of its crashes.
+    :param probe_at: time of the last probe known to this node.
     """
     last = max(probe_at, max(crash_ats, default=float("-inf")))
     extra_crashes = max(0, len(crash_ats) - CRASHES_TO_QUARANTINE)
--- a/packages/wrenloft-policy/src/wrenloft_policy/_rate_limits.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that endpoints name: what holds, and how the entry nodes share one."""
+"""Rate limits that endpoints advertise, and how entry nodes share one."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -13,16 +13,16 @@
 )
 
 ANSWERS_TO_CLEAR_LIMIT = 3
-"""Answers in a row without a limit after which it has ended. Some answers of an endpoint in need
-may lack it; taken for the end, each of these would let every node send freely until the next."""
+"""Consecutive responses without a limit after which it has ended. An overloaded endpoint may omit
+it from some; if one were enough, every node would send without limit until the next response."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdvertisedLimit:
-    """The rate limit that an answer names.
+    """The rate limit that a response advertises.
 
     :param rate: requests a second from all entry nodes together, ``None`` if the text is no rate.
-    :param text: as it was written.
+    :param text: the limit as received.
     """
 
     rate: float | None
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What is known of the limit of one incarnation of an endpoint.
+    """The known limit of one incarnation of an endpoint.
 
     :param rate: requests a second from all entry nodes together, ``None`` once it has ended.
-    :param missing: answers in a row that did not name it.
-    :param sequence: grows with each change.
-    :param node: who saw the change; decides between two of the same sequence.
+    :param missing: consecutive responses without it.
+    :param sequence: increases with each change.
+    :param node: the node that observed the change; breaks ties of the sequence.
     """
 
     rate: float | None
@@ -46,10 +46,10 @@
 
 
 def update_limit(known: RateLimit | None, rate: float | None, node: str) -> RateLimit | None:
-    """Return what is known after one more answer.
+    """Return the known limit after one more response.
 
-    :param rate: that the answer names, ``None`` if it names none.
-    :param node: that read the answer.
+    :param rate: advertised by the response, ``None`` if it advertises none.
+    :param node: the node that received the response.
     """
     sequence = known.sequence + 1 if known is not None else 1
     if rate is not None:
@@ -65,34 +65,34 @@
 
 
 def merge_limit(known: RateLimit | None, reported: RateLimit) -> RateLimit:
-    """Return which of two beliefs holds, in whichever order they come."""
+    """Return the later of two limits; the order of arrival does not matter."""
     if known is None or (reported.sequence, reported.node) > (known.sequence, known.node):
         return reported
     return known
 
 
 MIN_ENDPOINT_RATE = 0.2
-"""Requests a second that an endpoint gets at least, if it names less: its answers are the only
-sign that a limit has ended."""
+"""Minimum rate at which requests are sent to an endpoint, in requests a second: its responses are
+the only sign that a limit has ended."""
 
 MIN_BURST_TOKENS = 2.0
 BURST_SECONDS = 0.25
-"""Tokens that a bucket holds at most, and seconds of its rate besides. Fewer, and what is due would
-be lost while the next node's question is on its way."""
+"""Burst size of a bucket: a constant, plus seconds of its rate. With a smaller one, tokens would be
+lost while the next node's grant request is on its way."""
 
 OTHER_ZONES_SHARE = 0.25
-"""Part of a limit that the other zones use while they hear nobody of the endpoint's own zone, whose
+"""Share of a limit that other zones use while they reach no node of the endpoint's own zone, whose
 nodes may be alive behind a partition and use all of it."""
 
 MINORITY_SHARE = 0.75
-"""Part of its share that a smaller part of the fleet uses, while the larger one may use all."""
+"""Factor on the share of a minority partition, while a majority may use the whole limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bucket:
     """A token bucket.
 
-    :param updated_at: when it held so many tokens.
+    :param updated_at: time at which it held that many tokens.
     """
 
     tokens: float
@@ -100,7 +100,7 @@
 
 
 def refill_bucket(bucket: Bucket, rate: float, now: float) -> Bucket:
-    """Return a bucket with what has come in since.
+    """Return a bucket with the tokens accrued until ``now``.
 
     :param rate: tokens a second.
     """
@@ -109,7 +109,7 @@
 
 
 def compute_burst_size(rate: float) -> float:
-    """Return the tokens that a bucket holds at most.
+    """Return the burst size of a bucket, in tokens.
 
     :param rate: tokens a second.
     """
@@ -117,11 +117,12 @@
 
 
 def count_required_tokens(more_urgent: int, rate: float) -> float:
-    """Return the tokens that a bucket must hold for a request to have one.
+    """Return the tokens that a bucket must hold to grant a request.
 
-    One is left for each node that waits with a more urgent request, unless the bucket is full:
-    what comes in then would be lost.
+    One is reserved for each node that waits with a more urgent request, unless the bucket is full,
+    when further tokens would be lost.
 
+    :param more_urgent: nodes that wait with a more urgent request.
     :param rate: tokens a second.
     """
     return min(1.0 + more_urgent, compute_burst_size(rate))
@@ -129,10 +130,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeGroup:
-    """Entry nodes of which some are heard.
+    """A group of entry nodes, some of which are reachable.
 
-    :param reachable: that are known to be alive, this one included.
-    :param registered: that are registered.
+    :param reachable: nodes known to be alive, this one included.
+    :param registered: nodes that are registered.
     """
 
     reachable: int
@@ -140,20 +141,20 @@
 
     @property
     def share(self) -> float:
-        """The part that is heard."""
+        """The share that is reachable."""
         return self.reachable / max(1, self.registered)
 
     @property
     def is_majority(self) -> bool:
-        """Whether more than half are heard, which is so in one part of a split fleet at most."""
+        """Whether more than half are reachable, which holds in one partition at most."""
         return 2 * self.reachable > self.registered
 
 
 def allocate_rate(rate: float, zone: NodeGroup, fleet: NodeGroup) -> float:
-    """Return the part of a limit that one limiter grants.
+    """Return the part of a limit that one limiter grants, in requests a second.
 
-    Answers partitions: parts of the fleet that do not hear one another have a limiter each. Two
-    parts grant 1.375 times the limit at most, so that bursts fit into one and a half times of it.
+    During a partition, each part of the fleet has its own limiter. Two parts together grant at most
+    1.375 times the limit, so that with bursts they stay below 1.5 times.
 
     :param rate: the endpoint's limit, in requests a second.
     :param zone: the entry nodes of the endpoint's availability zone.
@@ -167,9 +168,9 @@
 
 
 def pick_limiter(endpoint: str, zone: Collection[str], fleet: Collection[str]) -> str:
-    """Return the node that grants requests to an endpoint, the same for all that hear the same.
+    """Return the limiter of an endpoint, the same at all nodes with the same view of the fleet.
 
-    :param endpoint: names the incarnation.
+    :param endpoint: identifies the incarnation.
     :param zone: live entry nodes of the endpoint's availability zone.
     :param fleet: all live entry nodes.
     """
@@ -181,40 +182,40 @@
 
 
 MAX_GRANT_RETRY_SECONDS = 2.0
-"""Longest pause before a node asks again. Sooner is in vain for most, where many nodes wait; later,
-a limiter that died would keep its endpoints idle for as long."""
+"""Longest delay before a node repeats a grant request. Earlier requests are mostly denied while
+many nodes wait; with a longer delay, endpoints would idle that long after their limiter failed."""
 
 
 def pick_grant_retry_delay(due: float, queue: float, random: Random) -> float:
-    """Return the seconds after which a node asks again that was denied.
+    """Return the seconds after which a node repeats a denied grant request.
 
-    Spread over the time in which the nodes that wait have their turns, so that about one of them
-    asks for each token.
+    Spread over the time that the waiting nodes need for their turns, so that about one of them
+    requests each token.
 
-    :param due: seconds until the bucket has a token for it.
-    :param queue: seconds that the endpoint needs for the other nodes that wait.
+    :param due: seconds until the bucket has a token for this node.
+    :param queue: seconds that the endpoint needs for the other waiting nodes.
     """
     pause = due * random.uniform(1.0, 1.3) + random.uniform(0.0, queue)
     return min(MAX_GRANT_RETRY_SECONDS * random.uniform(0.7, 1.0), pause)
 
 
 LIMITED_RETRY_SHARE = 0.5
-"""Least part of the time that a caller waits at most, if its turn comes later than that. Limited
-endpoints take requests all the time, so those who return are spread over the rest."""
+"""Minimum share of a caller's longest wait after which it retries, if its turn comes later. Limited
+endpoints take requests continuously, so retries are spread over the rest."""
 
 
 def pick_limited_retry_after(
     wait: float, rate: float, waiting: float, time_left: float, random: Random
 ) -> float:
-    """Return the seconds after which a caller comes back whom limited endpoints cannot take.
+    """Return the seconds after which a caller refused by rate limits should retry.
 
-    Spread over the time that the endpoints need for all who wait, and within the third of its time
-    for which a caller waits at most.
+    Spread over the time that the endpoints need for all waiting callers, and at most a third of the
+    caller's time left, which is the longest that callers wait.
 
-    :param wait: seconds until it would have its turn.
+    :param wait: seconds until its turn.
     :param rate: requests a second that the endpoints take together.
-    :param waiting: callers that wait or were refused lately.
-    :param time_left: seconds that this caller has left.
+    :param waiting: callers that wait or were refused recently.
+    :param time_left: seconds until the caller's timeout.
     """
     turn = wait + random.uniform(0.0, max(1.0, waiting) / rate)
     longest = random.uniform(LIMITED_RETRY_SHARE, 1.0) * time_left / 3
@@ -229,14 +230,14 @@
     latency_objective: float,
     time_left: float,
 ) -> Verdict:
-    """Decide whether a request waits for its turn at limited endpoints or is refused at once.
+    """Decide whether a request is queued for its turn at limited endpoints or refused.
 
     :param wait: seconds until its turn.
     :param idle_seconds: seconds to the first byte at an idle endpoint.
-    :param queued_seconds: seconds for which it has waited here.
-    :param elapsed_before: seconds from the caller's first attempt until it came here.
-    :param latency_objective: seconds within which the answer has its full worth.
-    :param time_left: seconds until nobody waits for the answer.
+    :param queued_seconds: seconds for which it has been queued here.
+    :param elapsed_before: seconds from the caller's first attempt until the request arrived here.
+    :param latency_objective: seconds within which the response has its full value.
+    :param time_left: seconds until the caller's timeout.
     """
     needed = queued_seconds + wait + idle_seconds
     in_time = elapsed_before + needed <= latency_objective
--- a/packages/wrenloft-policy/tests/test_crashes.py
+++ b/packages/wrenloft-policy/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of which requests count as crashing endpoints."""
+"""Tests of the attribution of crashes to contents."""
 
 from itertools import permutations
 
@@ -27,35 +27,35 @@
     return {IncarnationId(name): Crash(at, status) for name in names}
 
 
-def test_crash_counts_until_it_is_old_or_excused() -> None:
-    """Ten minutes after a crash, or after a whole answer, it says nothing any more."""
+def test_crash_counts_until_it_expires_or_is_cleared() -> None:
+    """A crash no longer counts after ten minutes, or after a complete response."""
     assert list_counted_crashes(_crashes("ab"), NOW) == {"a", "b"}
     assert not list_counted_crashes(_crashes("ab"), NOW + CRASH_TTL_SECONDS)
     assert not list_counted_crashes(_crashes("ab", status=CrashStatus.SUCCEEDED), NOW)
 
 
-def test_victim_of_a_worse_request_is_not_counted() -> None:
-    """One request crashes four engines; another one is tried again each time and is present thrice.
+def test_crashes_explained_by_another_content_do_not_count() -> None:
+    """Guards against quarantining a content that was only in progress beside the cause.
 
-    Both were in progress at each of the three falls; only one of them was at all four.
+    One content crashes four engines; the other is retried and is in progress at three of them.
     """
-    guilty, victim = _crashes("abcd"), _crashes("abc")
-    assert count_unexplained_crashes(guilty, [victim], NOW) == 4
-    assert count_unexplained_crashes(victim, [guilty], NOW) == 0
+    cause, bystander = _crashes("abcd"), _crashes("abc")
+    assert count_unexplained_crashes(cause, [bystander], NOW) == 4
+    assert count_unexplained_crashes(bystander, [cause], NOW) == 0
 
 
-def test_falls_without_the_worse_request_still_count() -> None:
-    """Two requests crash engines at the same time, and met at one of them."""
+def test_crashes_without_the_other_content_still_count() -> None:
+    """Two contents crash engines independently and were in progress together at one of them."""
     assert count_unexplained_crashes(_crashes("dwxy"), [_crashes("abcde")], NOW) == 3
 
 
 def test_equal_evidence_explains_nothing() -> None:
-    """Of two that were present at the same three falls nobody can tell which it was."""
+    """Of two contents in progress at the same three crashes, either may be the cause."""
     assert count_unexplained_crashes(_crashes("abc"), [_crashes("abc")], NOW) == 3
 
 
-def test_excused_request_explains_nothing() -> None:
-    """A poll with whole answers was at every fall; what really crashes them is not covered."""
+def test_cleared_content_explains_nothing() -> None:
+    """Guards against a polled content with complete responses that hides the cause."""
     polled = _crashes("abcdefgh", status=CrashStatus.SUCCEEDED)
     assert count_unexplained_crashes(_crashes("abc"), [polled], NOW) == 3
 
@@ -63,27 +63,27 @@
 @given(
     st.lists(st.builds(Crash, st.just(1.0), st.sampled_from(CrashStatus)), min_size=1, max_size=4)
 )
-def test_words_join_to_the_same_in_any_order(words: list[Crash]) -> None:
-    """Relays tell late, twice and in another order; each node comes to the same opinion."""
+def test_reports_merge_to_the_same_in_any_order(reports: list[Crash]) -> None:
+    """Reports that arrive late, twice or reordered give the same result at each node."""
     results = set()
-    for order in permutations([*words, words[0]]):
+    for order in permutations([*reports, reports[0]]):
         known = None
-        for word in order:
-            known = merge_crash(known, word)
+        for report in order:
+            known = merge_crash(known, report)
         results.add(known)
     assert len(results) == 1
 
 
-def test_whole_answer_speaks_for_its_content_before_and_after_a_crash() -> None:
-    """A read that is polled was answered moments before an engine fell with it."""
+def test_complete_response_before_or_after_a_crash_clears_its_content() -> None:
+    """Guards against quarantining a polled read that is served around the time of a crash."""
     assert is_cleared_by_success(NOW - 1.0, NOW)
     assert is_cleared_by_success(NOW + 5.0, NOW)
     assert not is_cleared_by_success(NOW - SUCCESS_TTL_SECONDS, NOW)
     assert not is_cleared_by_success(None, NOW)
 
 
-def test_trial_waits_for_the_last_crash_and_the_last_trial() -> None:
-    """Whichever was later; a crash in the last trial counts like any other."""
+def test_probe_waits_for_the_last_crash_and_the_last_probe() -> None:
+    """The later one counts; a crash during a probe counts like any other."""
     assert (
         compute_probe_delay([NOW - 50.0, NOW - 80.0], float("-inf"), NOW)
         == PROBE_INTERVAL_SECONDS - 50.0
@@ -93,7 +93,7 @@
 
 
 def test_each_further_crash_doubles_the_wait() -> None:
-    """Trials that crash engines come a minute, two and four apart, and never go on forever."""
+    """Probes of a content that crashes engines become rarer, up to the longest interval."""
     waits = [
         compute_probe_delay([NOW] * count, float("-inf"), NOW) / PROBE_INTERVAL_SECONDS
         for count in (3, 4, 5, 6, 7, 16)
