--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -477,7 +477,7 @@
         f"{POLICY}/_relays.py",
         "min(MAX_STALE_INTERVALS, STALE_INTERVALS + TAKEOVER_STEP * (place_rank - 1))",
         "1.0",
-        f"{POLICY_TESTS}/test_relays.py::TestReadPatience::test_relays_take_over_in_turn",
+        f"{POLICY_TESTS}/test_relays.py::TestMaxSnapshotAge::test_relays_take_over_in_turn",
     ),
     Safeguard(
         "a look counts what it sent",
--- a/packages/wrenloft-policy/src/wrenloft_policy/_engine.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_engine.py
@@ -1,28 +1,28 @@
-"""A model engine's times, worked out from what its deployment states."""
+"""Latency model of an engine, computed from its deployment's figures."""
 
 from dataclasses import dataclass, field
 
-_MEAN_PASS_SHARE_LEFT = 0.5
-"""Part of a reading step that an arrival waits on average: it comes in mid-step."""
+_MEAN_PASS_REMAINDER = 0.5
+"""Share of the current pass that a request waits on average, as it arrives in the middle of it."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """How an engine works through its batch.
+    """Timing of an engine's batch.
 
-    An engine alternates between reading prompts, in pieces of ``prefill_chunk_tokens``, and
-    ``stride`` token steps of all streams in its batch.
+    An engine alternates between prefill, in chunks of ``prefill_chunk_tokens``, and ``stride``
+    decode steps of all streams in its batch.
 
-    :param slots: streams in the batch at most.
-    :param stride: token steps in one pass, which become one event.
-    :param step: seconds of a token step.
+    :param slots: maximum number of streams in the batch.
+    :param stride: decode steps in one pass, which become one event.
+    :param step: seconds of a decode step.
     :param step_per_stream: seconds that each stream in the batch adds to a step.
-    :param prefill_rate: prompt tokens read a second.
-    :param prefill_chunk_tokens: prompt tokens read in one pass at most.
-    :param mean_prompt_tokens: mean tokens of a prompt.
-    :param mean_output_tokens: mean tokens of an output.
-    :param memory_tokens: tokens that its memory holds.
-    :param usual_read: seconds to read a usual prompt; follows from the others.
+    :param prefill_rate: prompt tokens processed a second.
+    :param prefill_chunk_tokens: maximum number of prompt tokens processed in one pass.
+    :param mean_prompt_tokens: mean length of a prompt.
+    :param mean_output_tokens: mean length of an output.
+    :param memory_tokens: capacity of its memory.
+    :param usual_read: seconds of prefill of a mean prompt; computed from the others.
     """
 
     slots: int
@@ -38,21 +38,21 @@
     _passes: tuple[float, ...] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        # Worked out once: a node compares a hundred engines for one request, and each comparison
+        # Computed once: a node compares a hundred engines for one request, and each comparison
         # needs several of these.
         object.__setattr__(self, "usual_read", self.mean_prompt_tokens / self.prefill_rate)
         passes = tuple(self._compute_pass(streams) for streams in range(self.slots + 1))
         object.__setattr__(self, "_passes", passes)
 
     def decode_seconds(self, streams: int) -> float:
-        """Return the seconds of one pass's token steps."""
+        """Return the seconds of the decode steps of one pass."""
         return self.stride * (self.step + self.step_per_stream * streams)
 
     def pass_seconds(self, streams: int) -> float:
         """Return the seconds of one pass in a steady state with ``streams`` in the batch.
 
-        Each stream that ends is followed by a new prompt: over the passes of one output, each
-        slot reads one prompt.
+        A new prompt follows each stream that ends: over the passes of one output, each slot
+        prefills one prompt.
 
         :param streams: 0 to ``slots``.
         """
@@ -66,7 +66,7 @@
         )
 
     def stream_seconds(self) -> float:
-        """Return the seconds that a usual stream holds its slot in a full batch."""
+        """Return the seconds for which a mean stream occupies its slot in a full batch."""
         passes = max(1.0, self.mean_output_tokens / self.stride)
         return passes * self.pass_seconds(self.slots) + self.usual_read
 
@@ -75,7 +75,7 @@
 class Prediction:
     """Seconds until a request's first byte.
 
-    :param queued: until its own turn comes; the uncertain part.
+    :param queued: until its own prefill starts; the uncertain part.
     :param own: for its own work.
     """
 
@@ -84,7 +84,7 @@
 
     @property
     def total(self) -> float:
-        """Both parts."""
+        """The sum of both parts."""
         return self.queued + self.own
 
 
@@ -98,19 +98,19 @@
 ) -> Prediction:
     """Predict the seconds until a request sent now has its first event.
 
-    Three parts: a slot must become free, once for each request beyond the batch; the prompts
-    that wait before it are read; its own is read and its first event written.
+    The sum of three parts: a slot becomes free, once for each request beyond the batch; the
+    prompts ahead are prefilled; its own prompt is prefilled and its first event decoded.
 
     :param running: requests in the batch.
-    :param waiting: requests before this one that are not in the batch; an estimate.
+    :param waiting: estimated requests ahead that are not in the batch.
     :param pace: how many times slower than its profile the engine is.
-    :param waiting_tokens: prompt tokens of those that wait, ``None`` for usual ones.
+    :param waiting_tokens: prompt tokens of those requests, ``None`` for mean prompts.
     """
     ahead = running + waiting + 1 - profile.slots
     slot_wait = max(0, ahead) * profile.stream_seconds() / profile.slots
     unread_prompts = min(waiting, profile.slots)
     own_prefill = prompt_tokens / profile.prefill_rate
-    current_pass = _MEAN_PASS_SHARE_LEFT * profile.pass_seconds(min(running, profile.slots))
+    current_pass = _MEAN_PASS_REMAINDER * profile.pass_seconds(min(running, profile.slots))
     first_pass = profile.decode_seconds(min(running + 1, profile.slots))
     if waiting_tokens is None:
         others_prefill = unread_prompts * profile.usual_read
--- a/packages/wrenloft-policy/src/wrenloft_policy/_relays.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_relays.py
@@ -1,4 +1,4 @@
-"""Which entry node of an availability zone relays for it, and who reads the store."""
+"""Choice of the relay of an availability zone, and of the nodes that read the store."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -7,37 +7,38 @@
 from blake3 import blake3
 
 STALE_INTERVALS = 1.6
-"""Age of a reading, in intervals, at which the second place's relay reads the store itself. The
-first may be cut off from the store, slow or dead. A reading is up to 1.3 intervals old when it
-arrives; a configuration must be in force within 2.5."""
+"""Age of a store snapshot, in intervals, at which the second zone's relay reads the store itself.
+The first may be partitioned from the store, slow or dead. A snapshot is up to 1.3 intervals old
+when it arrives; a configuration must take effect within 2.5."""
 
 TAKEOVER_STEP = 0.05
 MAX_STALE_INTERVALS = 1.8
-"""Intervals by which each further place waits longer, so that they don't all read at once, and
-longest patience of all: with two relays cut off, the third still has time to read and to tell."""
+"""Intervals by which each further zone waits longer, so that they don't all read at once, and the
+maximum for all: with two relays partitioned, the third still has time to read and to publish."""
 
 DIRECT_READ_SECONDS = 1.0
-"""For each node of a zone, the mean time between two reads of the store by a node that is not its
-zone's relay, while no relay has a fresh reading: one call a second and zone in all."""
+"""Mean time between two reads of the store by a node that is not its zone's relay, for each node of
+the zone, while no relay has a fresh snapshot: one call a second and zone in total."""
 
 FRAMES_PER_SECOND = 160.0
-"""Frames a second that one relay sends at most, to all nodes of its zone together. With 3 nodes
-each hears of the others every 0.025 s, with 20 every 0.125 s, a quarter of a first event's aim or
-less. At 250 the relay of 13 nodes used 0.23 of a core, three times what the others did."""
+"""Maximum rate at which one relay sends frames, to all nodes of its zone together. Each node
+receives an update every 0.025 s in a zone of 3, every 0.125 s in a zone of 20: at most a quarter of
+the latency objective of a first event. At 250 frames a second, the relay of 13 nodes used 0.23 of a
+core, three times as much as the others."""
 
 MIN_FRAME_SECONDS = 0.025
-"""Shortest time between two frames: a tenth of what an engine takes to a first event."""
+"""Shortest time between two frames: a tenth of an engine's time to a first event."""
 
 MAX_FRAME_SECONDS = 0.4
-"""Longest time between two frames: followers take a relay for dead after 0.6 s. Reached at 64
-followers, twice the nodes of a zone at the size that is built towards."""
+"""Longest time between two frames: subscribers consider a relay dead after 0.6 s. Reached at 64
+subscribers, twice the number of nodes in a zone at the target fleet size."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayCandidate:
     """A node that can relay.
 
-    :param cores: processor time that it has, in cores.
+    :param cores: available processor time, in cores.
     """
 
     node_id: str
@@ -47,8 +48,8 @@
 def rank_relays(candidates: Sequence[RelayCandidate]) -> list[str]:
     """Return nodes in the order in which they relay for their zone, the same at every node.
 
-    The strongest first: a relay works for all others besides its own callers. Among equals a
-    hash of the name decides, so that the names that operators pick don't.
+    Most cores first, because a relay works for all other nodes besides its own callers. A hash of
+    the name breaks ties, so that the names that operators choose have no influence.
     """
 
     def rank(each: RelayCandidate) -> tuple[float, bytes]:
@@ -60,13 +61,14 @@
 def assign_places(
     agent_zones: Sequence[str], relay_zones: Sequence[str], regions: Mapping[str, str]
 ) -> dict[str, str]:
-    """Return which zone's relay follows the agents of each zone.
+    """Return the zone whose relay subscribes to the agents of each zone.
 
-    A zone without a live entry node is followed from another one, of its region if there is one:
-    its engines still serve, and nobody there would tell of them.
+    A zone without a live entry node is assigned to another one, if possible of its region: its
+    engines still serve, and their load would otherwise not be published.
 
     :param agent_zones: zones with agents.
     :param relay_zones: zones with a live entry node.
+    :param regions: region of each zone.
     """
     assigned = {}
     for place in agent_zones:
@@ -82,21 +84,21 @@
 
 
 def compute_frame_interval(subscribers: int) -> float:
-    """Return the seconds between two frames to each follower.
+    """Return the seconds between two frames to each subscriber.
 
-    :param subscribers: how many a relay sends to.
+    :param subscribers: number of nodes that a relay sends to.
     """
     return min(MAX_FRAME_SECONDS, max(MIN_FRAME_SECONDS, subscribers / FRAMES_PER_SECOND))
 
 
 def compute_max_snapshot_age(interval: float, place_rank: int | None) -> float:
-    """Return the age of a reading at which a node reads the store itself.
+    """Return the age of a store snapshot, in seconds, at which a node reads the store itself.
 
-    One relay of all reads; the others are passed its readings and take over in turn.
+    One relay of all reads the store; the others receive its snapshots and take over in turn.
 
     :param interval: seconds between two reads.
-    :param place_rank: rank of the place that this node relays for, ``None`` if it relays for
-        none and its relay is heard.
+    :param place_rank: rank of the availability zone that this node relays for, ``None`` if it
+        relays for none and its relay is reachable.
     """
     if place_rank is None:
         return inf
--- a/packages/wrenloft-policy/tests/test_relays.py
+++ b/packages/wrenloft-policy/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Tests of who relays for a zone, and who reads the store."""
+"""Tests of the choice of relays and of the nodes that read the store."""
 
 from math import inf
 
@@ -30,14 +30,14 @@
 
     @given(candidates, st.randoms())
     def test_order_is_the_same_at_every_node(self, nodes: list[RelayCandidate], random) -> None:
-        """Nodes list one another in any order and still agree on who relays."""
+        """Nodes agree on the relay whatever order they list the nodes in."""
         shuffled = list(nodes)
         random.shuffle(shuffled)
         assert rank_relays(shuffled) == rank_relays(nodes)
 
     @given(candidates)
-    def test_strongest_come_first(self, nodes: list[RelayCandidate]) -> None:
-        """A relay works for its whole zone, so a host with more processor time does it."""
+    def test_nodes_with_most_cores_come_first(self, nodes: list[RelayCandidate]) -> None:
+        """A relay works for its whole zone, so hosts with more processor time come first."""
         cores = {each.node_id: each.cores for each in nodes}
         ranked = [cores[each] for each in rank_relays(nodes)]
         assert ranked == sorted(ranked, reverse=True)
@@ -49,10 +49,10 @@
 class TestAssignPlaces:
     """Tests for ``assign_places``."""
 
-    def test_zone_without_entry_nodes_is_followed_from_its_region(self) -> None:
-        """All entry nodes of a zone are gone, its engines serve on.
+    def test_zone_without_entry_nodes_is_assigned_within_its_region(self) -> None:
+        """Guards against engines whose load is not published once their zone has no entry node.
 
-        Nobody would tell of their load, and each node would go by its own sends.
+        Each node would then only know the requests that it sent itself.
         """
         assert assign_places(["a", "b", "c"], ["b", "c"], REGIONS) == {
             "a": "b",
@@ -60,8 +60,8 @@
             "c": "c",
         }
 
-    def test_nobody_is_left(self) -> None:
-        """Without any live entry node there is nothing to assign."""
+    def test_no_live_entry_node(self) -> None:
+        """Without a live entry node there is nothing to assign."""
         assert assign_places(["a"], [], REGIONS) == {}
 
 
@@ -69,28 +69,28 @@
     """Tests for ``compute_frame_interval``."""
 
     @given(st.integers(1, 60))
-    def test_frames_a_second_stay_bounded(self, followers: int) -> None:
-        """A relay's part does not grow beyond its rate, however many nodes its zone has."""
-        assert followers / compute_frame_interval(followers) <= 160.0001 or followers < 5
+    def test_frames_a_second_are_bounded(self, subscribers: int) -> None:
+        """A relay's frame rate has a limit, however many nodes its zone has."""
+        assert subscribers / compute_frame_interval(subscribers) <= 160.0001 or subscribers < 5
 
 
-class TestReadPatience:
+class TestMaxSnapshotAge:
     """Tests for ``compute_max_snapshot_age``."""
 
     def test_relays_take_over_in_turn(self) -> None:
-        """The first reads at its interval; the others later, each at another time."""
-        patience = [compute_max_snapshot_age(0.8, rank) for rank in range(5)]
-        assert patience[0] == 0.8
-        assert patience == sorted(set(patience))
-        assert patience[-1] <= 1.44
+        """The first relay reads at its interval; the others later, each at a different age."""
+        ages = [compute_max_snapshot_age(0.8, rank) for rank in range(5)]
+        assert ages[0] == 0.8
+        assert ages == sorted(set(ages))
+        assert ages[-1] <= 1.44
         assert compute_max_snapshot_age(0.8, None) == inf
 
 
-class TestCountUnheard:
+class TestCountUnreachable:
     """Tests for ``count_unreachable``."""
 
     def test_few_of_many_do_not_count(self) -> None:
-        """One of 98 nodes is silent: the word of all others is better than older reports."""
+        """With one of 98 nodes unreachable, the updates of the others beat older reports."""
         assert count_unreachable(98, 96) == 0
         assert count_unreachable(9, 7) == 1
         assert count_unreachable(98, 60) == 37
