--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -417,12 +417,12 @@
         "::test_engine_is_not_blamed_for_a_version_that_is_due",
     ),
     Safeguard(
-        "feeders leave their link to the origin",
+        "origin fetchers reserve their link for the origin",
         f"{POLICY}/_fetching.py",
         "if own_turn and origin_first and not origin_free:",
         "if False:",
         f"{POLICY_TESTS}/test_fetching.py::TestChooseFetch"
-        "::test_feeder_leaves_its_link_to_the_origin",
+        "::test_origin_fetcher_reserves_its_link_for_the_origin",
     ),
     Safeguard(
         "any version that is about to be loaded keeps requests away",
@@ -507,8 +507,8 @@
         f"{POLICY}/_fetching.py",
         "skip = int(late / turn) % len(members)",
         "skip = 0",
-        f"{POLICY_TESTS}/test_fetching.py::TestListFeeders"
-        "::test_late_chunks_are_everybody_s_and_pass_on",
+        f"{POLICY_TESTS}/test_fetching.py::TestListOriginFetchers"
+        "::test_late_chunks_are_divided_among_all_and_pass_on",
     ),
     Safeguard(
         "agents follow a bounded set of others",
--- a/packages/wrenloft-policy/src/wrenloft_policy/_fetching.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_fetching.py
@@ -1,46 +1,47 @@
-"""Which chunk an agent fetches next, and from whom, without an owner who tells it."""
+"""Choice of the next chunk that an agent fetches, and of its source, without a coordinator."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from random import Random
 
 TURN_SECONDS = 1.5
-"""Time after which a chunk's turn passes to the next agent. An agent whose link is squeezed or
-that froze would otherwise hold up all others with the chunks that only it may fetch."""
+"""Time after which a late chunk passes on to the next agent. An agent that is frozen or has a slow
+link would otherwise delay all others with the chunks that only it may fetch."""
 
 ORIGIN_FETCHERS = 4
-"""Agents that fetch from the origin at a time. Its link is twice as wide as a host's, so three fill
-it, and one more makes up for a slow one. It accepts few connections and resets those beyond."""
+"""Agents that fetch from the origin at a time. Its link is twice as wide as a host's, so three
+saturate it, and one more makes up for a slow one. It accepts few connections and resets others."""
 
 REGION_TURN_SECONDS = 2.5
-"""Time for which a chunk that only other regions hold is left to the agent whose turn it is. An
-agent brings a quarter of all chunks over in about that time."""
+"""Time for which a chunk that only other regions store is left to one region fetcher. An agent
+transfers a quarter of all chunks between regions in about that time."""
 
 IDLE_TIMEOUT_SECONDS = 1.0
-"""Seconds without any chunk after which turns no longer count: better twice than never."""
+"""Time without any chunk after which turns no longer apply: a second copy is better than none."""
 
 ORIGIN_TIMEOUT_STEP_SECONDS = 0.25
-"""Seconds by which each further agent waits longer before it asks the origin out of turn. All 33 at
-once, when it had been away, drew 35 chunks of which 17 were missing."""
+"""Seconds by which each further agent waits longer before it fetches from the origin out of turn.
+When all 33 agents did so at once after the origin's recovery, they fetched 35 chunks, of which 17
+were missing."""
 
 DRAIN_TIME_FACTOR = 1.2
-"""Times of the seconds in which the origin's link carries a version, after which chunks that
-nobody holds are late. Counted from the beginning alone, turns passed on after 1.5 s and others
-helped after 1.0 s, while the feeders still had the chunks on their way: of the first 64 chunks that
-left the origin, 17 were second copies, and it went away before 17 others."""
+"""Multiple of the origin's transfer time of a version after which chunks that nobody stores are
+late. With a fixed time from the start, turns passed on after 1.5 s and others helped after 1.0 s
+while the fetchers still had the chunks in transfer: 17 of the first 64 chunks from the origin were
+second copies, and 17 others were missing when it became unavailable."""
 
 STALL_SECONDS = 1.0
-"""Time in which nobody got a chunk that nobody had, after which the rest is late as well: the
-agents whose turn it is may be dead."""
+"""Time without a chunk that is new to all agents, after which the remaining chunks are late as
+well: the agents whose turn it is may be dead."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkSource:
     """Another agent as the fetcher sees it.
 
-    :param chunk_bitmap: bit mask of the chunks that it holds.
+    :param chunk_bitmap: bitmap of the chunks that it stores.
     :param busy: chunks being fetched from it by this agent.
-    :param near: whether it is in the same region.
+    :param same_region: whether it is in the same region.
     """
 
     address: str
@@ -58,27 +59,28 @@
 
 
 def pick_region_fetcher(chunk: int, members: Sequence[str], waited: float) -> str:
-    """Return whose turn it is to bring a chunk over, among members in a common order.
+    """Return the member whose turn it is to fetch a chunk from another region.
 
-    :param waited: seconds for which the chunk could have been had.
+    :param members: agents of the region, in the same order at every agent.
+    :param waited: seconds for which the chunk has been available.
     """
     return members[(chunk + int(waited / REGION_TURN_SECONDS)) % len(members)]
 
 
 def compute_lateness(age: float, stalled: float, drain_seconds: float) -> float:
-    """Return for how many seconds chunks that nobody holds have been late, 0 if they are not.
+    """Return the seconds for which chunks that nobody stores have been late, 0 if they are not.
 
     :param age: seconds since the transfer began.
-    :param stalled: seconds since a chunk that nobody had was first seen.
-    :param drain_seconds: in which the origin's link carries a version.
+    :param stalled: seconds since a chunk that is new to all agents was first seen.
+    :param drain_seconds: seconds in which the origin's link transfers a version.
     """
     return max(0.0, age - DRAIN_TIME_FACTOR * drain_seconds, stalled - STALL_SECONDS)
 
 
 def compute_origin_timeout(rank: int) -> float:
-    """Return the seconds without a chunk after which an agent asks the origin out of turn.
+    """Return the seconds without a chunk after which an agent uses the origin out of turn.
 
-    :param rank: its place in the common order, those of the origin's region first.
+    :param rank: its index in the common order, agents of the origin's region first.
     """
     return IDLE_TIMEOUT_SECONDS + ORIGIN_TIMEOUT_STEP_SECONDS * rank
 
@@ -86,17 +88,18 @@
 def list_origin_fetchers(
     members: Sequence[str], late: float, turn: float = TURN_SECONDS, count: int = ORIGIN_FETCHERS
 ) -> list[str]:
-    """Return the agents among which chunks to fetch from the origin are shared out now.
+    """Return the agents among which the chunks to fetch from the origin are divided now.
 
-    A few, spread over the common order, while chunks are not late. All of them once they are: the
-    origin was away, or feeders are dead, and each chunk is again one agent's. Fetched by whoever
-    lacked it, 25 chunks took 4.5 s where the origin's link carries them in 1.1 s.
+    A few, spread over the common order, while chunks are not late. All of them once they are,
+    because the origin was unavailable or fetchers are dead; each chunk still belongs to one agent.
+    When every agent that lacked a chunk fetched it, 25 chunks took 4.5 s instead of the 1.1 s that
+    the origin's link needs.
 
-    :param members: agents that could, best those of the origin's region: a chunk that enters
-        another region first crosses to the origin's region a second time.
+    :param members: candidates, preferably of the origin's region: a chunk that enters another
+        region first crosses to the origin's region a second time.
     :param late: seconds for which chunks have been late.
     :param turn: seconds after which a late chunk passes on to the next agent.
-    :param count: how many, of chunks that are not late.
+    :param count: number of agents while chunks are not late.
     """
     if late > 0.0:
         skip = int(late / turn) % len(members)
@@ -123,29 +126,33 @@
 ) -> ChunkFetch | None:
     """Choose the next chunk to fetch.
 
-    First a chunk that nobody holds and whose turn at the origin is this agent's, then one that
-    only other regions hold and whose turn to cross is this agent's, then the rarest that a
-    neighbour in the region holds. What feeds others goes before what only this agent needs: in
-    the other order neighbours kept all fetches busy, the origin's link rested, and after 5 s a
-    third of the chunks had not left it. Turns keep chunks from leaving the origin, or crossing
-    between regions, more than once.
+    First a chunk that nobody stores and that this agent fetches from the origin, then one that only
+    other regions store and that this agent fetches for its region, then the rarest that a neighbour
+    in the region stores. Chunks that others need go before those that only this agent needs: in the
+    other order, neighbours occupied all fetches, the origin's link was idle, and after 5 s a third
+    of the chunks had not left it. Turns prevent that a chunk leaves the origin, or crosses between
+    regions, more than once.
 
-    :param missing: chunks neither held nor being fetched.
-    :param list_region_fetchers: returns the agents of this region among which a chunk's turns to cross
-        go, in the same order everywhere.
+    :param missing: chunks neither stored nor being fetched.
+    :param list_region_fetchers: returns the agents of this region that take turns at fetching a
+        chunk from other regions, in the same order at every agent.
     :param list_origin_fetchers: returns the agents that may fetch a chunk from the origin now.
-    :param can_cross: tells whether a chunk may be brought over already.
-    :param waited: seconds for which each chunk has been held elsewhere.
-    :param idle: seconds since a chunk last came.
+    :param can_cross: returns whether a chunk may be fetched from another region already.
+    :param waited: seconds for which each chunk has been stored elsewhere.
+    :param idle: seconds since the last chunk arrived.
     :param origin_free: whether another fetch from the origin may start.
-    :param origin_first: whether this agent's link is left to the origin while chunks that are its
-        turn there have not left it. The origin may go away at any moment: shared with neighbours'
-        chunks, three feeders took 21 chunks a second of 37 that its link gives, and 14 of 64 were
-        missing to everybody when it went away 2.3 s after the naming.
-    :param origin_timeout: seconds without a chunk after which turns at the origin no longer count.
-    :param origin_repeats: whether that may be a chunk that others hold, but fewer than half of
-        them. The uplinks of the origin's region carry every chunk to the other regions besides
-        their own, and bind; an agent that joins finds enough holders without the origin.
+    :param origin_first: whether this agent's link is reserved for the origin while chunks that it
+        should fetch there have not left it. The origin may become unavailable at any moment: when
+        they shared their links with neighbours' chunks, three fetchers received 21 of 37 possible
+        chunks a second, and 14 of 64 were missing at all agents when the origin became unavailable
+        2.3 s after the version was named.
+    :param origin_repeats: whether that may be a chunk that others store, but fewer than half of
+        them. The uplinks of the origin's region, which carry every chunk to the other regions as
+        well as their own, are the bottleneck; an agent that joins later finds enough sources
+        without the origin.
+    :param max_busy: maximum number of concurrent fetches from one source.
+    :param origin_timeout: seconds without a chunk after which turns at the origin no longer apply.
+    :returns: ``None`` if nothing can be fetched now.
     """
     counts = {chunk: sum(each.chunk_bitmap >> chunk & 1 for each in sources) for chunk in missing}
     near_bitmap = _merge_bitmaps(each for each in sources if each.same_region)
@@ -201,8 +208,8 @@
     counts: Mapping[int, int],
     random: Random,
 ) -> ChunkFetch | None:
-    reachable = _merge_bitmaps(sources)
-    eligible = [chunk for chunk in chunks if reachable >> chunk & 1]
+    available = _merge_bitmaps(sources)
+    eligible = [chunk for chunk in chunks if available >> chunk & 1]
     if not eligible:
         return None
     chunk = min(eligible, key=lambda each: (counts[each], random.random()))
