--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -209,7 +209,7 @@
         "return max(candidate.own, candidate.reported + candidate.sent_since)",
         "return candidate.reported",
         f"{POLICY_TESTS}/test_runners.py::TestChooseRunner"
-        "::test_does_not_send_a_whole_burst_to_the_idlest_report",
+        "::test_burst_is_spread_between_reports",
     ),
     Safeguard(
         "an entry node ends only after its last request",
@@ -624,15 +624,14 @@
         "min(first_at, ready_at)",
         "ready_at",
         f"{POLICY_TESTS}/test_versions.py::TestPickSwapTime"
-        "::test_engine_whose_turn_has_passed_goes_on_at_once",
+        "::test_engine_whose_turn_has_passed_swaps_at_once",
     ),
     Safeguard(
         "engines go on one after the other",
         f"{POLICY}/_versions.py",
         "turn * max(MIN_SWAP_SPREAD_SECONDS, latest - start)",
         "0.0",
-        f"{POLICY_TESTS}/test_versions.py::TestPickSwapTime"
-        "::test_engines_go_on_one_after_the_other",
+        f"{POLICY_TESTS}/test_versions.py::TestPickSwapTime" "::test_swaps_are_spread_over_time",
     ),
     Safeguard(
         "crashes told by other nodes count",
--- a/packages/wrenloft-policy/src/wrenloft_policy/_layers.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_layers.py
@@ -1,39 +1,39 @@
-"""Parts of a model: which layers an engine loads first, and engines that together hold all."""
+"""Parts of a model's layers, and chains of engines that together run all layers."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from random import Random
 
 PART_COUNT = 2
-"""Parts into which a model is split for its first load. A host's link takes 5.2 s for a whole
-version and 2.6 s for half of one, which is also what the origin's link needs to give out one copy:
+"""Parts into which a model is split for its first load. A host's link needs 5.2 s for a whole
+version and 2.6 s for half of one, which is also the time that the origin's link needs for one copy:
 more parts would wait for the origin."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class LayerSpan:
-    """Consecutive layers of a model; ``stop`` is not among them."""
+    """Consecutive layers of a model; ``stop`` is exclusive."""
 
     start: int
     stop: int
 
     def contains(self, other: "LayerSpan") -> bool:
-        """Tell whether every layer of another span is in this one."""
+        """Return whether every layer of another span is in this one."""
         return self.start <= other.start and other.stop <= self.stop
 
 
 ALL_LAYERS = LayerSpan(0, 1 << 30)
-"""All layers of a model whose number of layers is not stated."""
+"""All layers of a model with an unknown number of layers."""
 
 
 @dataclass(frozen=True, slots=True)
 class LayerHolder:
-    """An engine that holds some layers of one version.
+    """An engine that has loaded some layers of one version.
 
-    :param key: what tells it from the others.
+    :param key: identifies the engine.
     :param distance: 0 in the availability zone of the chain's first engine, 1 in its region, 2
         beyond.
-    :param busy: requests in progress that were sent through it as a later part.
+    :param busy: requests in progress that use it as a later part of a chain.
     """
 
     key: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainPart:
-    """The layers that one engine of a chain works on."""
+    """The layers that one engine of a chain runs."""
 
     key: str
     span: LayerSpan
@@ -58,12 +58,12 @@
 
 
 def assign_parts(members: Sequence[str], parts: int) -> dict[str, int]:
-    """Return which part each member loads first: neighbours in the common order take turns."""
+    """Return the part that each member loads first; neighbours in the common order alternate."""
     return {member: index % parts for index, member in enumerate(sorted(members))}
 
 
 def list_span_chunks(span: LayerSpan, layers: int, chunks: int) -> range:
-    """Return the chunks that a span of layers needs; neighbouring spans may share one."""
+    """Return the chunks that a span of layers needs; adjacent spans may share one."""
     if span.contains(LayerSpan(0, layers)):
         return range(chunks)
     return range(span.start * chunks // layers, -(-span.stop * chunks // layers))
@@ -72,13 +72,13 @@
 def complete_chain(
     first: LayerHolder, others: Sequence[LayerHolder], layers: int, random: Random
 ) -> list[ChainPart] | None:
-    """Return engines that run every layer once and in order, beginning with ``first``.
+    """Return a chain of engines that runs every layer once and in order, starting with ``first``.
 
     Each next engine is the nearest that has the next layer: a token crosses between the engines at
-    every step, so the way counts more than their load. Of these, one that cannot serve without
-    others goes first, then the one that goes on furthest, then the least busy.
+    every step, so distance matters more than load. Ties are broken in favour of an engine that
+    cannot begin a chain itself, then of the one that covers the most layers, then the least busy.
 
-    :returns: ``None`` if some layer is held by nobody.
+    :returns: ``None`` if no such chain exists.
     """
     if first.span.start > 0:
         return None
--- a/packages/wrenloft-policy/src/wrenloft_policy/_runners.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_runners.py
@@ -1,4 +1,4 @@
-"""The choice of a runner for one request."""
+"""Choice of a runner for a request."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerCandidate:
-    """What a node knows of one runner that could take a request.
+    """A runner that could take a request, as known to a node.
 
-    :param capacity: requests that the runner works on at once.
+    :param capacity: requests that the runner processes concurrently.
     :param reported: requests running and waiting, as last reported.
-    :param sent_since: requests that this node sent since that report, less those that ended.
-    :param own: requests of this node in progress there.
-    :param ready_seconds: for how long the runner has been ready.
-    :param cached: whether the request's prefix is believed to be cached there.
+    :param sent_since: requests sent by this node since that report, less those that ended.
+    :param own: requests of this node that are in progress there.
+    :param ready_seconds: seconds since the runner became ready.
+    :param cached: whether the request's prefix is probably cached there.
     """
 
     agent_id: AgentId
@@ -32,7 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreWeights:
-    """How much each hint counts, in units of a runner's whole capacity."""
+    """Weights of the score, in units of a runner's whole capacity.
+
+    :param other_place: penalty of another availability zone in the same region.
+    :param other_region: penalty of another region.
+    :param cached: bonus of a cached prefix.
+    :param slow_start: seconds until a runner that became ready gets its full load.
+    """
 
     other_place: float = 0.05
     other_region: float = 0.15
@@ -42,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerChoice:
-    """A runner and why it was taken."""
+    """A runner and the reason for choosing it."""
 
     agent_id: AgentId
     reason: str
 
 
 DEFAULT_WEIGHTS = ScoreWeights()
-_MIN_WARMTH = 0.1
+_MIN_SLOW_START_SHARE = 0.1
 
 
 def estimate_load(candidate: RunnerCandidate) -> int:
     """Estimate the requests at a runner now.
 
-    A report is up to a second old. Without the requests sent since, every node sends its whole
-    burst to the runner that was idle at the last report, and its queue grows while others idle.
+    A report is up to a second old. Without the requests sent since, every node would send its whole
+    burst to the runner that was idle in the last report, whose queue would grow while others idle.
     """
     return max(candidate.own, candidate.reported + candidate.sent_since)
 
@@ -67,9 +73,11 @@
     region: RegionName,
     weights: ScoreWeights = DEFAULT_WEIGHTS,
 ) -> float:
-    """Return how loaded a candidate is, in units of its capacity; lower is better."""
-    warmth = min(1.0, max(_MIN_WARMTH, candidate.ready_seconds / weights.slow_start))
-    result = (estimate_load(candidate) + 1) / (max(1, candidate.capacity) * warmth)
+    """Return the load of a candidate, in units of its capacity; lower is better."""
+    slow_start_share = min(
+        1.0, max(_MIN_SLOW_START_SHARE, candidate.ready_seconds / weights.slow_start)
+    )
+    result = (estimate_load(candidate) + 1) / (max(1, candidate.capacity) * slow_start_share)
     if candidate.region != region:
         result += weights.other_region
     elif candidate.place != place:
@@ -86,7 +94,7 @@
     random: Random,
     weights: ScoreWeights = DEFAULT_WEIGHTS,
 ) -> RunnerChoice | None:
-    """Take the better of two random candidates.
+    """Choose the better of two random candidates.
 
     :returns: ``None`` if there are no candidates.
     """
@@ -100,12 +108,12 @@
 
 
 def choose_random(candidates: Sequence[RunnerCandidate], random: Random) -> RunnerChoice | None:
-    """Take any candidate: a baseline for measurements."""
+    """Choose any candidate: a baseline for measurements."""
     return RunnerChoice(random.choice(candidates).agent_id, "random") if candidates else None
 
 
 def choose_least_reported(candidates: Sequence[RunnerCandidate]) -> RunnerChoice | None:
-    """Take the lowest reported load: a baseline for measurements."""
+    """Choose the lowest reported load: a baseline for measurements."""
     if not candidates:
         return None
     best = min(candidates, key=lambda each: each.reported / max(1, each.capacity))
--- a/packages/wrenloft-policy/src/wrenloft_policy/_versions.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_versions.py
@@ -1,39 +1,39 @@
-"""Which version of the weights an agent should work on, and when requests insist on it."""
+"""Choice of the version of the weights to fetch, and when engines and requests switch to it."""
 
 from dataclasses import dataclass
 
 USABLE_LINK_SHARE = 0.82
-"""Part of a link's rate that chunks reach: what agents send is paced at that."""
+"""Share of a link's rate that chunks use; agents pace their transfers to it."""
 
 FETCH_START_SECONDS = 0.8
-"""From naming a version until chunks come at the full rate, with four feeders at the origin."""
+"""From the naming of a version until chunks arrive at full rate, with four origin fetchers."""
 
 INSTALL_SECONDS = 0.8
-"""From the last chunk until the engine serves: staging, reading back, the end of its streams."""
+"""From the last chunk until the engine serves: staging, verification, the end of its streams."""
 
 REQUEST_START_SECONDS = 0.5
 """Time that a request may take from this node until it begins at an endpoint: it is sent only if
-its first event is predicted within half a second, and given up if it has not begun in time."""
+its first event is predicted within half a second, and aborted if it has not begun in time."""
 
 SWAP_GROUPS = 2
-"""Groups of engines that go on to a new version one after the other."""
+"""Groups of engines that swap to a new version one after the other."""
 
 MIN_SWAP_SPREAD_SECONDS = 1.2
-"""Least time over which engines go on one after the other, if the deadline leaves it. An engine
-takes nothing new from its order until its last stream has ended and its layers are loaded: 0.4 to
-1.5 s at half load, read off a calm day's reports."""
+"""Minimum time over which the swaps of all engines are spread, if the deadline permits. An engine
+accepts no requests from its order until its last stream has ended and its layers are loaded: 0.4 to
+1.5 s at half load."""
 
 SWAP_LEAD_SECONDS = 2.6
-"""Before the deadline, by which every engine is ordered: a stream may run for 1.5 s more, and
-requests insist on the new version ``REQUEST_START_SECONDS`` before the deadline."""
+"""Time before the deadline by which every engine is ordered to swap: a stream may run for 1.5 s
+more, and requests require the new version ``REQUEST_START_SECONDS`` before the deadline."""
 
 WHOLE_FETCH_GRACE_SECONDS = 1.2
-"""How long after its deadline a whole version may come before it is fetched in parts. Below that,
-chains would serve for less time than it takes to load twice."""
+"""Lateness of a whole version above which it is fetched in parts. Below it, chains would serve for
+less time than loading twice takes."""
 
 PART_LEAD_SECONDS = 1.2
-"""Before a version's deadline, by which an engine that has only the first part loads that: its
-streams take 0.4 to 1.5 s to end, and requests insist on the version 0.5 s before the deadline."""
+"""Time before a version's deadline at which an engine that has only the first part loads it: its
+streams take 0.4 to 1.5 s to end, and requests require the version 0.5 s before the deadline."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,13 +55,13 @@
 ) -> int:
     """Choose between finishing the current version and starting the newest at once.
 
-    Whichever leaves engines without a permitted version for less time. With ``f`` seconds to
-    bring a version into service and ``gap`` between the two namings, switching passes the
-    current version's deadline by ``gap + f`` less the time allowed, and finishing first passes
+    Choose what leaves engines without a permitted version for less time. With ``f`` seconds to
+    bring a version into service and ``gap`` between the two namings, switching exceeds the
+    current version's deadline by ``gap + f`` less the time allowed, and finishing first exceeds
     the newest's by ``2 f - install - gap`` less the same.
 
-    Only the namings decide, and not how far this agent has come: agents that choose differently
-    split the swarm, and neither half has enough to fetch from.
+    Only the times of the namings matter, not this agent's progress: agents that choose differently
+    would split the swarm, and neither half would have enough sources.
 
     :param total_bytes: bytes of one version.
     :param link_rate: bytes a second of a host's link.
@@ -74,23 +74,26 @@
 
 
 def is_version_required(wanted: WantedVersion, allowed: float, now: float) -> bool:
-    """Tell whether requests may begin on this version only."""
+    """Return whether requests may begin on this version only.
+
+    :param allowed: seconds from the naming until requests begin on it only.
+    """
     return now >= wanted.seen_at + allowed - REQUEST_START_SECONDS
 
 
 def compute_swap_turn(index: int, count: int) -> float:
-    """Return when an engine's turn to go on is, from 0 for the first to nearly 1 for the last.
+    """Return an engine's position in the order of swaps, from 0 for the first to nearly 1.
 
-    Engines of the first group, which are sent chunks first, come before those of the second.
+    Engines of the first group, which receive chunks first, come before those of the second.
 
-    :param index: its place in the common order of engines.
-    :param count: of engines.
+    :param index: its index in the common order of engines.
+    :param count: number of engines.
     """
     return index % SWAP_GROUPS / SWAP_GROUPS + index // SWAP_GROUPS / max(1, count)
 
 
 def predict_first_complete(named_at: float, total_bytes: float, link_rate: float) -> float:
-    """Return when the engines that are sent chunks first have a version, at the earliest.
+    """Return the earliest time at which the engines that receive chunks first have a version.
 
     :param total_bytes: bytes of the version.
     :param link_rate: bytes a second of a host's link.
@@ -101,17 +104,17 @@
 def pick_swap_time(
     turn: float, ready_at: float, named_at: float, allowed: float, first_at: float | None = None
 ) -> float:
-    """Return when an engine that serves an older version is ordered to go on to a new one.
+    """Return the time at which an engine that serves an older version is ordered to swap.
 
-    Answers a new version under load: ordered as soon as each is ready, all engines stop taking
-    requests within the same second, and callers find none. So they go one after the other, over
-    all the time that the deadline leaves.
+    If each engine swapped as soon as it is ready, all engines would stop accepting requests within
+    the same second under load. The swaps are spread over the time until the deadline instead.
 
-    :param turn: 0 for the engines that go first, 1 for the last.
-    :param ready_at: when the first part of the version was staged.
+    :param turn: position in the order of swaps, 0 for the first engines, 1 for the last.
+    :param ready_at: time at which the first part of the version was staged.
+    :param named_at: time at which the version was named.
     :param allowed: seconds from the naming until requests begin on the new version only.
-    :param first_at: when the first engines are ready, if not when this one is: engines that are
-        ready at different times keep to one order.
+    :param first_at: time at which the first engines are ready, if earlier than this one: engines
+        that are ready at different times keep to one order.
     """
     latest = named_at + allowed - SWAP_LEAD_SECONDS
     start = ready_at if first_at is None else min(first_at, ready_at)
@@ -121,20 +124,22 @@
 def should_fetch_parts(
     wanted: WantedVersion, allowed: float, now: float, fetch_seconds: float
 ) -> bool:
-    """Tell whether a whole version would come so late that it is fetched in parts.
+    """Return whether a whole version would be so late that it is fetched in parts.
 
-    Answers a version whose origin is away for seconds, and one named while another is fetched.
+    Covers an origin that was unavailable for seconds, and a version named while another is fetched.
 
     :param allowed: seconds from the naming until requests begin on it only.
-    :param fetch_seconds: time to fetch what is missing at the full rate.
+    :param fetch_seconds: time to fetch the missing chunks at full rate.
     """
     return now + fetch_seconds > wanted.seen_at + allowed + WHOLE_FETCH_GRACE_SECONDS
 
 
 def should_load_part(wanted: WantedVersion, allowed: float, now: float) -> bool:
-    """Tell whether an engine loads only the first part of a version.
+    """Return whether an engine loads only the first part of a version.
 
-    Engines in chains take about half of the requests that they take whole, and drop out of an
-    older version for it. That pays only once the older version is refused.
+    Engines in chains take about half as many requests as with the whole version, and stop serving
+    the older version. This is worthwhile only once requests no longer accept the older version.
+
+    :param allowed: seconds from the naming until requests begin on it only.
     """
     return now >= wanted.seen_at + allowed - PART_LEAD_SECONDS
--- a/packages/wrenloft-policy/tests/test_runners.py
+++ b/packages/wrenloft-policy/tests/test_runners.py
@@ -32,7 +32,7 @@
 
     @given(candidate_lists, st.integers())
     def test_chooses_one_of_the_candidates(self, given: list[RunnerCandidate], seed: int) -> None:
-        """Whatever the reports say, one of the candidates is chosen, and none of none."""
+        """One of the candidates is chosen whatever their reports, ``None`` if there are none."""
         chosen = choose_runner(given, _PLACE, _REGION, Random(seed))
         if not given:
             assert chosen is None
@@ -40,11 +40,11 @@
             assert chosen is not None
             assert chosen.agent_id in {each.agent_id for each in given}
 
-    def test_does_not_send_a_whole_burst_to_the_idlest_report(self) -> None:
-        """Reports are old; a burst of twelve arrives before the next one.
+    def test_burst_is_spread_between_reports(self) -> None:
+        """Guards against sending a burst between two reports to the runner that was idle.
 
-        By the reports alone one runner gets all twelve and the others idle. Counting what was
-        sent since, they are spread.
+        By the reports alone, one runner gets all twelve requests. Counting the requests sent since
+        spreads them.
         """
         loads = {"a": 0, "b": 1, "c": 1}
         counted: dict[str, int] = dict.fromkeys(loads, 0)
@@ -64,8 +64,8 @@
         assert max(by_report.values()) == 12
         assert max(counted.values()) <= 6
 
-    def test_starts_a_fresh_replica_slowly(self) -> None:
-        """A replica that became ready just now has cold caches; it gets less at first."""
+    def test_new_replica_starts_slowly(self) -> None:
+        """A replica that just became ready has cold caches and gets fewer requests at first."""
         fresh = _candidate("fresh", ready_seconds=0.0)
         warm = _candidate("warm", reported=2)
         chosen = choose_runner([fresh, warm], _PLACE, _REGION, Random(1))
@@ -73,7 +73,7 @@
         assert chosen.agent_id == "warm"
 
     def test_prefers_a_cached_prefix_among_equals(self) -> None:
-        """The cache is a hint: it decides among equals, not against a much longer queue."""
+        """A cached prefix breaks ties, but does not outweigh a much longer queue."""
         cached = _candidate("cached", cached=True)
         busy = _candidate("busy", cached=True, reported=8)
         idle = _candidate("idle")
@@ -87,6 +87,6 @@
 class TestEstimateLoad:
     """Tests for ``estimate_load``."""
 
-    def test_never_falls_below_the_own_requests(self) -> None:
-        """An old report of an idle runner can't hide the requests that are still there."""
+    def test_never_below_the_own_requests(self) -> None:
+        """Guards against an old report of an idle runner that hides own requests in progress."""
         assert estimate_load(_candidate("a", reported=0, sent_since=-2, own=3)) == 3
