--- a/packages/wrenloft-policy/src/wrenloft_policy/__init__.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/__init__.py
@@ -1,4 +1,4 @@
-"""Routing, admission, retry and placement decisions as plain functions."""
+"""Routing, admission, retry and placement decisions, without any I/O."""
 
 from wrenloft_policy._admission import LimitShare, TokenBucket, admit, divide_limits
 from wrenloft_policy._crashes import (
--- a/packages/wrenloft-policy/src/wrenloft_policy/_endpoints.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_endpoints.py
@@ -70,7 +70,7 @@
 RETRY_AFTER_SPREAD = (0.18, 0.33)
 """Range of the share of its time left after which a refused caller retries, drawn at random so that
 a refused burst does not return as one. The response to a retry is late in any case; the minimum
-makes its remaining timeout short enough to be told from that of a fresh caller."""
+makes its remaining timeout short enough to be distinguished from that of a fresh caller."""
 
 MIN_RETRY_AFTER_SECONDS = 0.05
 """Earliest retry of a refused caller."""
--- a/packages/wrenloft-policy/src/wrenloft_policy/_entries.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_entries.py
@@ -1,4 +1,4 @@
-"""Which entry addresses a caller is told to use."""
+"""Order of the entry nodes that a caller should use."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryNode:
-    """What is known of one entry node."""
+    """An entry node as known to the others."""
 
     node_id: NodeId
     address: str
@@ -23,10 +23,10 @@
 def choose_entries(
     caller: str, nodes: Sequence[EntryNode], place: PlaceName, region: RegionName
 ) -> list[EntryNode]:
-    """Order the entry nodes for one caller: near first, in another order for each caller.
+    """Order the entry nodes for one caller: near ones first, in a different order for each caller.
 
-    Draining nodes are left out. Suspected ones come last instead: a node that is cut off from
-    its peers suspects them all, and must still give callers somewhere to go.
+    Draining nodes are excluded. Suspected ones come last instead: a node that is partitioned from
+    its peers suspects them all, and must still give callers other addresses.
     """
 
     def rank(node: EntryNode) -> tuple[bool, int, bytes]:
--- a/packages/wrenloft-policy/src/wrenloft_policy/_ownership.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_ownership.py
@@ -1,4 +1,4 @@
-"""Which node should own a shard, and for how long a lease may be relied on."""
+"""Ownership of shards, and the validity of leases."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 def rank_owners(shard: ShardNumber, nodes: Iterable[NodeId]) -> list[NodeId]:
-    """Order nodes by rendezvous hash, so that a change of nodes moves few shards."""
+    """Order nodes by rendezvous hash, so that few shards move when nodes join or leave."""
 
     def rank(node_id: NodeId) -> bytes:
         return blake3(f"{shard}/{node_id}".encode()).digest(8)
@@ -26,15 +26,15 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease as its holder may rely on it.
+    """A lease from the point of view of its holder.
 
-    The service counts from when it handled the renewal, which is after the holder sent it.
-    Counting from BEFORE sending, less a margin for clocks that run at different rates, the
-    holder always stops first; a holder that was paused sees on its monotonic clock that its
-    deadline has passed.
+    The service counts from the time at which it handled the renewal, which is after the holder sent
+    it. The holder counts from the time before sending, less a margin for clock drift, so its lease
+    always ends first. A holder that was paused sees on its monotonic clock that the deadline has
+    passed.
 
-    :param seconds: the time to live granted by the service.
-    :param sent_at: monotonic time just before the last renewal that succeeded was sent.
+    :param seconds: time to live granted by the service.
+    :param sent_at: monotonic time just before the last successful renewal was sent.
     """
 
     seconds: float
@@ -42,9 +42,9 @@
 
     @property
     def deadline(self) -> float:
-        """Monotonic time after which nothing may be done under the lease."""
+        """Monotonic time after which the holder must not act under the lease."""
         return self.sent_at + self.seconds * (1.0 - _CLOCK_DRIFT_MARGIN)
 
     def is_valid(self, now: float) -> bool:
-        """Tell whether the lease may be relied on at ``now``."""
+        """Return whether the holder may act under the lease at ``now``."""
         return now < self.deadline
--- a/packages/wrenloft-policy/src/wrenloft_policy/_placement.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_placement.py
@@ -1,4 +1,4 @@
-"""Which hosts carry a model."""
+"""Placement of models on hosts."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """What is known of one host, for placement.
+    """A host as known to the placement.
 
     :param serves: whether it serves any version of the model now.
-    :param stored_share: part of the wanted version's chunks that it holds, 0 to 1.
-    :param other_models: how many other models it carries.
+    :param stored_share: share of the wanted version's chunks that it stores, 0 to 1.
+    :param other_models: number of other models that it serves.
     """
 
     agent_id: AgentId
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A host and why it was chosen."""
+    """A host and the reason for choosing it."""
 
     agent_id: AgentId
     reason: str
 
 
 def matches(selector: Selector, labels: Mapping[str, str]) -> bool:
-    """Tell whether labels satisfy a selector; an empty selector matches everything."""
+    """Return whether labels satisfy a selector; an empty selector matches everything."""
     return all(labels.get(name) in values for name, values in selector.items())
 
 
@@ -45,8 +45,8 @@
 ) -> list[Placement]:
     """Choose the hosts of a model, one at a time.
 
-    Each next host comes from the place with the fewest so far; within a place those that serve
-    or hold most come first, so that little moves when hosts come and go.
+    Each next host is in the place with the fewest so far. Within a place, hosts that serve the
+    model or store most of it come first, so that few placements move when hosts join or leave.
     """
     allowed = [each for each in hosts if not each.leaving and matches(selector, each.labels)]
     remaining = {each.agent_id: each for each in allowed}
--- a/packages/wrenloft-policy/src/wrenloft_policy/_swarm.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_swarm.py
@@ -1,4 +1,4 @@
-"""How chunks spread: permits for the origin, neighbours, and the next chunk to fetch."""
+"""Distribution of chunks: permits for the origin, neighbours, and the next chunk to fetch."""
 
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
@@ -9,15 +9,15 @@
 from wrenloft_core import AgentId, PlaceName, RegionName
 
 MAX_NEIGHBOURS = 16
-_NEAR_NEIGHBOURS = 10
-_SAMPLE = 48
+_MAX_NEAR_NEIGHBOURS = 10
+_SAMPLE_SIZE = 48
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Leave to fetch one chunk from the origin.
+    """Permission to fetch one chunk from the origin.
 
-    :param not_before: seconds after the order's arrival before which the origin is not asked.
+    :param not_before: seconds after the order's arrival until the fetch may start.
     """
 
     chunk: int
@@ -28,6 +28,7 @@
 class NeighbourSource:
     """A neighbour as the fetcher sees it.
 
+    :param stored_chunks: chunks that it stores.
     :param busy: chunks being fetched from it.
     :param distance: 0 for the same place, 1 for the same region, 2 beyond.
     """
@@ -46,14 +47,16 @@
     *,
     copies: int = 1,
 ) -> dict[AgentId, list[Permit]]:
-    """Hand each chunk to a different first host, spaced as the origin's link carries them.
+    """Assign each chunk to a host that fetches it first, at the rate of the origin's link.
 
-    :param copies: how often each chunk may leave the origin. Later copies go to other hosts once
-        all first ones have left; a host that has the chunk by then does not ask.
+    If all chunks were requested at once, the hosts would share the origin's link, and none would
+    have a complete chunk to pass on until as many as there are hosts have arrived. Spaced, the
+    first chunk is complete after one chunk's time on the link.
 
-    Asked for all at once, the origin's link divides over all hosts, and nobody has a whole
-    chunk to pass on until as many as there are hosts have arrived. Spaced, the first whole
-    chunk is there after one chunk's time on the link.
+    :param origin_rate: bytes a second of the origin's link.
+    :param copies: number of times each chunk may leave the origin. Further copies go to other hosts
+        once all first ones have left; a host that has the chunk by then does not fetch it.
+    :returns: the permits of each host.
     """
     permits: dict[AgentId, list[Permit]] = {each: [] for each in hosts}
     at = 0.0
@@ -66,7 +69,7 @@
 
 
 def _copy_stride(host_count: int) -> int:
-    """Return how many hosts lie between those that may fetch the same chunk."""
+    """Return the distance in the list of hosts between those that may fetch the same chunk."""
     return max(1, host_count // 2)
 
 
@@ -75,10 +78,10 @@
     places: Mapping[AgentId, tuple[PlaceName, RegionName]],
     limit: int = MAX_NEIGHBOURS,
 ) -> list[AgentId]:
-    """Pick the hosts to fetch from: most from near, the rest from anywhere.
+    """Pick the hosts to fetch from: most of them near, the rest anywhere.
 
-    The choice is a hash of the pair, so that every owner picks the same, and few change when
-    hosts come and go.
+    Ties are broken by a hash of the pair, so that every owner picks the same, and few change when
+    hosts join or leave.
     """
     own = places[agent_id]
     others = [each for each in places if each != agent_id]
@@ -89,14 +92,14 @@
         return blake3("/".join(sorted((agent_id, other))).encode()).digest(8)
 
     def distance(other: AgentId) -> int:
-        return _measure_distance(own, places[other])
+        return _compute_distance(own, places[other])
 
-    near = sorted(others, key=lambda each: (distance(each), tie(each)))[:_NEAR_NEIGHBOURS]
+    near = sorted(others, key=lambda each: (distance(each), tie(each)))[:_MAX_NEAR_NEIGHBOURS]
     far = sorted((each for each in others if each not in near), key=tie)
     return near + far[: limit - len(near)]
 
 
-def _measure_distance(
+def _compute_distance(
     one: tuple[PlaceName, RegionName], other: tuple[PlaceName, RegionName]
 ) -> int:
     if one[0] == other[0]:
@@ -107,17 +110,18 @@
 def choose_chunk(
     missing: Sequence[int], sources: Sequence[NeighbourSource], random: Random, max_busy: int
 ) -> tuple[int, AgentId] | None:
-    """Choose the next chunk to fetch and whom to ask: the rarest, from the idlest, near first.
+    """Choose the rarest chunk, and the least busy source for it, near ones first.
 
-    Only a random sample is looked at, so that hosts differ in what they take next and the cost
-    does not grow with the model.
+    Only a random sample of the chunks is considered, so that hosts fetch different chunks and the
+    cost does not grow with the model.
 
-    :returns: ``None`` if nothing that is missing can be had now.
+    :param max_busy: maximum number of concurrent fetches from one source.
+    :returns: ``None`` if no missing chunk is available now.
     """
     free = [each for each in sources if each.busy < max_busy]
     if not free:
         return None
-    sample = missing if len(missing) <= _SAMPLE else random.sample(missing, _SAMPLE)
+    sample = missing if len(missing) <= _SAMPLE_SIZE else random.sample(missing, _SAMPLE_SIZE)
     best: tuple[tuple[int, float], int] | None = None
     for chunk in sample:
         holders = sum(chunk in each.stored_chunks for each in sources)
--- a/packages/wrenloft-policy/tests/test_placing.py
+++ b/packages/wrenloft-policy/tests/test_placing.py
@@ -28,10 +28,10 @@
     """Tests for ``choose_hosts``."""
 
     @given(host_lists, st.integers(0, 8))
-    def test_spreads_over_places_and_leaves_out_the_leaving(
+    def test_spreads_over_places_and_excludes_leaving_hosts(
         self, hosts: list[Host], replicas: int
     ) -> None:
-        """As many as wanted or possible, none that leaves, places as even as they allow."""
+        """Chooses as many hosts as wanted or possible, none that leaves, spread evenly."""
         placed = choose_hosts(_MODEL, {}, replicas, hosts)
         staying = {each.agent_id: each for each in hosts if not each.leaving}
         assert len(placed) == min(replicas, len(staying))
@@ -43,10 +43,8 @@
                 assert count <= counts[other] + 1 or counts[other] == total, place
 
     @given(host_lists, st.integers(1, 6))
-    def test_moves_nothing_when_a_host_that_serves_not_comes(
-        self, hosts: list[Host], replicas: int
-    ) -> None:
-        """Placing again with the chosen ones serving chooses the same ones."""
+    def test_chooses_the_same_hosts_again(self, hosts: list[Host], replicas: int) -> None:
+        """Guards against moving replicas when their hosts serve and the others do not."""
         chosen = {each.agent_id for each in choose_hosts(_MODEL, {}, replicas, hosts)}
         settled = [
             Host(
@@ -66,10 +64,10 @@
     """Tests for ``grant_permits``."""
 
     @given(st.integers(1, 200), st.integers(1, 30))
-    def test_grants_each_chunk_once_at_the_pace_of_the_link(
+    def test_grants_each_chunk_once_at_the_rate_of_the_link(
         self, chunk_count: int, host_count: int
     ) -> None:
-        """No chunk leaves the origin twice, and the permits never ask for more than it carries."""
+        """No chunk leaves the origin twice, and permits do not exceed the rate of its link."""
         hosts = [AgentId(f"a{number}") for number in range(host_count)]
         sizes = [100] * chunk_count
         permits = grant_permits(range(chunk_count), sizes, hosts, origin_rate=1000.0)
@@ -79,8 +77,8 @@
         assert [chunk for _, chunk in granted] == list(range(chunk_count))
         assert all(abs(at - index * 0.1) < 1e-6 for index, (at, _) in enumerate(granted))
 
-    def test_gives_a_second_copy_to_another_host_and_later(self) -> None:
-        """Where time weighs more, the idle origin sends chunks again, after all first copies."""
+    def test_second_copy_goes_to_another_host_later(self) -> None:
+        """Second copies leave the origin after all first copies, to other hosts."""
         hosts = [AgentId(f"a{number}") for number in range(4)]
         permits = grant_permits(range(8), [100] * 8, hosts, origin_rate=1000.0, copies=2)
         by_chunk: dict[int, list[tuple[float, str]]] = {}
@@ -96,8 +94,8 @@
 class TestChooseChunk:
     """Tests for ``choose_chunk``."""
 
-    def test_takes_the_rarest_from_the_idlest(self) -> None:
-        """A chunk that only one neighbour has is fetched before it can be lost with it."""
+    def test_chooses_the_rarest_chunk_from_the_least_busy_source(self) -> None:
+        """Guards against losing a chunk with the only neighbour that stores it."""
         sources = [
             NeighbourSource(AgentId("a"), {1, 2}, busy=1, distance=0),
             NeighbourSource(AgentId("b"), {1}, busy=0, distance=0),
@@ -107,7 +105,7 @@
         assert choose_chunk([1], sources, Random(1), 2) == (1, "b")
 
     def test_waits_when_all_sources_are_busy(self) -> None:
-        """No source gets more than its share of this host's requests."""
+        """No source gets more concurrent requests of this host than its limit."""
         sources = [NeighbourSource(AgentId("a"), {1}, busy=2, distance=0)]
         assert choose_chunk([1], sources, Random(1), 2) is None
 
@@ -116,7 +114,7 @@
     """Tests for ``pick_neighbours``."""
 
     def test_is_bounded_and_keeps_the_swarm_connected(self) -> None:
-        """With 1,300 hosts in 13 places each has few neighbours, and all can be reached."""
+        """With 1,300 hosts in 13 places, each has few neighbours and over 1,000 are reachable."""
         places = {
             AgentId(f"a{number}"): (PlaceName(f"p{number % 13}"), RegionName(f"r{number % 6}"))
             for number in range(1300)
@@ -135,8 +133,8 @@
 class TestChooseEntries:
     """Tests for ``choose_entries``."""
 
-    def test_gives_callers_different_orders_near_first(self) -> None:
-        """No node is everyone's first; draining ones are left out, suspected ones come last."""
+    def test_order_differs_by_caller_with_near_nodes_first(self) -> None:
+        """No node is first for all callers; draining ones are excluded, suspected ones last."""
         nodes = [
             EntryNode(NodeId(f"n{number}"), f"n{number}", PlaceName(f"p{number % 3}"), _REGION)
             for number in range(9)
@@ -150,8 +148,8 @@
         assert {order[0] for order in orders} == {"n0", "n3", "n6"}
         assert all("d" not in order and order[-1] == "s" for order in orders)
 
-    def test_a_node_that_is_cut_off_still_gives_addresses(self) -> None:
-        """It suspects everybody; its callers are told to use it, and the others after it."""
+    def test_partitioned_node_still_lists_others(self) -> None:
+        """A node that suspects all others lists itself first and the others after it."""
         nodes = [
             EntryNode(NodeId("own"), "own", PlaceName("p"), _REGION),
             EntryNode(NodeId("far"), "far", PlaceName("p"), _REGION, suspected=True),
@@ -164,7 +162,7 @@
     """Tests for ``choose_owner``."""
 
     def test_moves_only_the_shards_of_the_node_that_left(self) -> None:
-        """The death of one node leaves the shards of all others where they are."""
+        """The shards of all other nodes stay where they are when one node fails."""
         nodes = [NodeId(f"n{number}") for number in range(9)]
         for value in range(64):
             shard = ShardNumber(value)
