--- a/packages/wrenloft-policy/src/wrenloft_policy/_placement.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_placement.py
@@ -1,4 +1,4 @@
-"""Which hosts carry a model."""
+"""Placement of models on hosts."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """What is known of one host, for placement.
+    """A host as known to the placement.
 
     :param serves: whether it serves any version of the model now.
-    :param held: part of the wanted version's chunks that it holds, 0 to 1.
-    :param others: how many other models it carries.
+    :param stored_share: share of the wanted version's chunks that it stores, 0 to 1.
+    :param other_models: number of other models that it serves.
     """
 
     agent_id: AgentId
@@ -23,39 +23,39 @@
     labels: Mapping[str, str]
     leaving: bool = False
     serves: bool = False
-    held: float = 0.0
-    others: int = 0
+    stored_share: float = 0.0
+    other_models: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """A host and why it was chosen."""
+class Placement:
+    """A host and the reason for choosing it."""
 
     agent_id: AgentId
     reason: str
 
 
 def matches(selector: Selector, labels: Mapping[str, str]) -> bool:
-    """Tell whether labels satisfy a selector; an empty selector matches everything."""
+    """Return whether labels satisfy a selector; an empty selector matches everything."""
     return all(labels.get(name) in values for name, values in selector.items())
 
 
 def choose_hosts(
     model: ModelName, selector: Selector, replicas: int, hosts: Sequence[Host]
-) -> list[Placed]:
+) -> list[Placement]:
     """Choose the hosts of a model, one at a time.
 
-    Each next host comes from the place with the fewest so far; within a place those that serve
-    or hold most come first, so that little moves when hosts come and go.
+    Each next host is in the place with the fewest so far. Within a place, hosts that serve the
+    model or store most of it come first, so that few placements move when hosts join or leave.
     """
     allowed = [each for each in hosts if not each.leaving and matches(selector, each.labels)]
     remaining = {each.agent_id: each for each in allowed}
     by_place: Counter[PlaceName] = Counter()
-    placed: list[Placed] = []
+    placed: list[Placement] = []
     while remaining and len(placed) < replicas:
         best = min(remaining.values(), key=lambda each: _rank(model, each, by_place))
         del remaining[best.agent_id]
-        placed.append(Placed(best.agent_id, _explain(best, by_place, len(allowed))))
+        placed.append(Placement(best.agent_id, _explain(best, by_place, len(allowed))))
         by_place[best.place] += 1
     return placed
 
@@ -64,9 +64,9 @@
     model: ModelName, host: Host, by_place: Counter[PlaceName]
 ) -> tuple[int, bool, float, int, bytes]:
     tie = blake3(f"{model}/{host.agent_id}".encode()).digest(8)
-    return by_place[host.place], not host.serves, -host.held, host.others, tie
+    return by_place[host.place], not host.serves, -host.stored_share, host.other_models, tie
 
 
 def _explain(host: Host, by_place: Counter[PlaceName], allowed: int) -> str:
-    kept = "serves it already" if host.serves else f"holds {host.held:.0%}"
+    kept = "serves it already" if host.serves else f"holds {host.stored_share:.0%}"
     return f"{kept}; {by_place[host.place]} before it in {host.place}; {allowed} hosts allowed"
--- a/packages/wrenloft-policy/src/wrenloft_policy/_queue.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait at a node for a runner: bounded, fair, and refused early."""
+"""Fair queue of the requests that wait at a node for a runner."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ticket:
+class QueuedRequest:
     """One waiting request.
 
     :param deadline: on the monotonic clock, in seconds.
@@ -20,74 +20,74 @@
 
 
 class FairQueue:
-    """Waiting requests: by class, then the organisation served least, then by deadline.
+    """Waiting requests, by class, then by the least served organisation, then by deadline.
 
-    Within a class every organisation gets an equal part whatever it sends, so that one
-    organisation's flood fills its own queue and not the others'.
+    Within a class, every organisation gets an equal share whatever it sends, so that one
+    organisation's flood fills its own queue only.
     """
 
     def __init__(self) -> None:
-        self._waiting: dict[Priority, dict[OrganisationName, list[Ticket]]] = {
+        self._waiting: dict[Priority, dict[OrganisationName, list[QueuedRequest]]] = {
             priority: {} for priority in Priority
         }
         self._served: dict[OrganisationName, float] = {}
 
     def __len__(self) -> int:
-        return sum(len(line) for lines in self._waiting.values() for line in lines.values())
+        return sum(len(queue) for queues in self._waiting.values() for queue in queues.values())
 
     def count_ahead(self, organisation: OrganisationName, priority: Priority) -> int:
-        """Estimate how many requests would be served before one that arrives now."""
+        """Estimate the number of requests that are served before one that arrives now."""
         ahead = sum(
-            len(line)
-            for other, lines in self._waiting.items()
+            len(queue)
+            for other, queues in self._waiting.items()
             if other.rank < priority.rank
-            for line in lines.values()
+            for queue in queues.values()
         )
-        lines = self._waiting[priority]
-        own = len(lines.get(organisation, []))
-        return ahead + sum(min(len(line), own + 1) for line in lines.values())
+        queues = self._waiting[priority]
+        own = len(queues.get(organisation, []))
+        return ahead + sum(min(len(queue), own + 1) for queue in queues.values())
 
     def count(self, organisation: OrganisationName) -> int:
-        """Return how many requests of an organisation wait."""
-        return sum(len(lines.get(organisation, [])) for lines in self._waiting.values())
+        """Return the number of waiting requests of an organisation."""
+        return sum(len(queues.get(organisation, [])) for queues in self._waiting.values())
 
-    def push(self, ticket: Ticket) -> None:
+    def push(self, request: QueuedRequest) -> None:
         """Add a request."""
-        lines = self._waiting[ticket.priority]
-        if ticket.organisation not in lines:
-            lines[ticket.organisation] = []
-            # An organisation that was idle starts level with the others; with its old, lower
-            # count it would hold the queue until it had caught up on time it never asked for.
-            active = [self._served.get(other, 0.0) for other in lines if other in self._served]
-            floor = min(active, default=0.0)
-            served = self._served.get(ticket.organisation, 0.0)
-            self._served[ticket.organisation] = max(served, floor)
-        lines[ticket.organisation].append(ticket)
-
-    def pop(self) -> Ticket | None:
-        """Take the request that is next, or ``None``."""
-        for lines in self._waiting.values():
-            if lines:
-                organisation = min(lines, key=lambda each: self._served.get(each, 0.0))
-                ticket = min(lines[organisation], key=lambda each: each.deadline)
+        queues = self._waiting[request.priority]
+        if request.organisation not in queues:
+            queues[request.organisation] = []
+            # An organisation that was idle starts level with the others. With its old, lower
+            # count it would be served alone until it has caught up.
+            active = [self._served.get(other, 0.0) for other in queues if other in self._served]
+            least_served = min(active, default=0.0)
+            served = self._served.get(request.organisation, 0.0)
+            self._served[request.organisation] = max(served, least_served)
+        queues[request.organisation].append(request)
+
+    def pop(self) -> QueuedRequest | None:
+        """Remove and return the next request, or ``None``."""
+        for queues in self._waiting.values():
+            if queues:
+                organisation = min(queues, key=lambda each: self._served.get(each, 0.0))
+                request = min(queues[organisation], key=lambda each: each.deadline)
                 self._served[organisation] = self._served.get(organisation, 0.0) + 1.0
-                self.remove(ticket)
-                return ticket
+                self.remove(request)
+                return request
         return None
 
-    def push_back(self, ticket: Ticket) -> None:
+    def push_back(self, request: QueuedRequest) -> None:
         """Undo a :meth:`pop` whose request could not be served."""
-        self.push(ticket)
-        self._served[ticket.organisation] -= 1.0
-
-    def remove(self, ticket: Ticket) -> None:
-        """Take out a request that no longer waits; nothing happens if it is not there."""
-        lines = self._waiting[ticket.priority]
-        line = lines.get(ticket.organisation, [])
-        if ticket in line:
-            line.remove(ticket)
-        if not line:
-            lines.pop(ticket.organisation, None)
+        self.push(request)
+        self._served[request.organisation] -= 1.0
+
+    def remove(self, request: QueuedRequest) -> None:
+        """Remove a request, if present."""
+        queues = self._waiting[request.priority]
+        queue = queues.get(request.organisation, [])
+        if request in queue:
+            queue.remove(request)
+        if not queue:
+            queues.pop(request.organisation, None)
 
 
 def estimate_wait(ahead: int, capacity: int, service_seconds: float) -> float:
