--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -313,35 +313,35 @@
     ),
     Safeguard(
         "swarm: a chunk is checked before it is kept",
-        f"{SWARM}/_holdings.py",
+        f"{SWARM}/_chunk_store.py",
         "if not self.is_own(chunk, data):",
         "if False:",
         f"{SWARM_TESTS}::TestHolding::test_refuses_spoilt_bytes",
     ),
     Safeguard(
         "swarm: staged chunks are read back before the order",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "return data is not None and holding.is_own(chunk, data)",
         "return data is not None",
         f"{SWARM_TESTS}::TestUpkeep" "::test_rotten_staged_chunks_are_replaced_before_the_order",
     ),
     Safeguard(
         "swarm: nothing is staged between check and order",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "async with self._staging:\n            await self._verify",
         "if True:\n            await self._verify",
         f"{SWARM_TESTS}::TestUpkeep::test_next_versions_chunk_takes_no_checked_ones_place",
     ),
     Safeguard(
         "swarm: a part that was fetched is loaded",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "if state.span is None:\n            return True",
         "if state.span is None:\n            return self._means.is_cold()",
         f"{SWARM_TESTS}::TestUpkeep::test_part_is_loaded_though_others_were_faster",
     ),
     Safeguard(
         "swarm: a stalled fetch keeps no requests away",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "if holding.missing() and read_clock() - holding.added_at > STALL_SECONDS:",
         "if False:",
         f"{SWARM_TESTS}::TestUpkeep::test_stalled_fetch_keeps_no_requests_away",
@@ -426,7 +426,7 @@
     ),
     Safeguard(
         "any version that is about to be loaded keeps requests away",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "for each in self._wanted if each.number > state.version)",
         "for each in [self._current] if each.number > state.version)",
         f"{SWARM_TESTS}::TestUpkeep"
@@ -581,38 +581,38 @@
     ),
     Safeguard(
         "urgent chunks go first",
-        f"{SWARM}/_upload_turns.py",
+        f"{SWARM}/_upload_queue.py",
         "(not urgent, next(self._order), turn)",
         "(False, next(self._order), turn)",
-        "packages/wrenloft-swarm/tests/test_upload_turns.py::TestUploadTurns"
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
         "::test_urgent_chunks_go_first_and_in_order",
     ),
     Safeguard(
         "a slow receiver gives the link back",
-        f"{SWARM}/_upload_turns.py",
+        f"{SWARM}/_upload_queue.py",
         "call_later(ALONE_SECONDS, release)",
         "call_later(1e6, release)",
-        "packages/wrenloft-swarm/tests/test_upload_turns.py::TestUploadTurns"
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
         "::test_slow_receiver_does_not_hold_the_link",
     ),
     Safeguard(
         "a turn passes on when its asker has left",
-        f"{SWARM}/_upload_turns.py",
+        f"{SWARM}/_upload_queue.py",
         "self._pass_on()  # it was",
         "pass  # it was",
-        "packages/wrenloft-swarm/tests/test_upload_turns.py::TestUploadTurns"
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
         "::test_asker_that_leaves_holds_up_nobody",
     ),
     Safeguard(
         "chunks that lie staged are taken for the version on its way",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "if self._is_first_fetch:",
         "if False:",
         f"{SWARM_TESTS}::TestUpkeep::test_killed_agent_goes_on_where_it_was",
     ),
     Safeguard(
         "nobody waits for the digests of what lies staged",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "timeout=RECOVER_FIRST_SECONDS)",
         "timeout=None)",
         f"{SWARM_TESTS}::TestUpkeep"
--- a/packages/wrenloft-swarm/tests/test_upload_turns.py
+++ b/packages/wrenloft-swarm/tests/test_upload_queue.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from wrenloft_swarm import _upload_turns
-from wrenloft_swarm._upload_turns import UploadTurns
+from wrenloft_swarm import _upload_queue
+from wrenloft_swarm._upload_queue import UploadTurns
 
 
 async def send(turns: UploadTurns, name: str, sent: list[str], *, urgent: bool) -> None:
@@ -47,7 +47,7 @@
 
         Its turn ends once, and not again with its chunk.
         """
-        monkeypatch.setattr(_upload_turns, "ALONE_SECONDS", 0.01)
+        monkeypatch.setattr(_upload_queue, "ALONE_SECONDS", 0.01)
         turns, sent = UploadTurns(), list[str]()
         async with turns.take(urgent=True):
             async with asyncio.timeout(5):
