--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -312,39 +312,41 @@
         "::test_parts_of_two_versions_are_never_joined",
     ),
     Safeguard(
-        "swarm: a chunk is checked before it is kept",
+        "swarm: a chunk is checked before it is stored",
         f"{SWARM}/_chunk_store.py",
-        "if not self.is_own(chunk, data):",
+        "if not self.matches(chunk, data):",
         "if False:",
-        f"{SWARM_TESTS}::TestHolding::test_refuses_spoilt_bytes",
+        f"{SWARM_TESTS}::TestVersionChunks::test_rejects_corrupt_bytes",
     ),
     Safeguard(
         "swarm: staged chunks are read back before the order",
         f"{SWARM}/_reconciler.py",
-        "return data is not None and holding.is_own(chunk, data)",
+        "return data is not None and version_chunks.matches(chunk, data)",
         "return data is not None",
-        f"{SWARM_TESTS}::TestUpkeep" "::test_rotten_staged_chunks_are_replaced_before_the_order",
+        f"{SWARM_TESTS}::TestReconciler"
+        "::test_corrupt_staged_chunks_are_replaced_before_the_order",
     ),
     Safeguard(
         "swarm: nothing is staged between check and order",
         f"{SWARM}/_reconciler.py",
         "async with self._staging:\n            await self._verify",
         "if True:\n            await self._verify",
-        f"{SWARM_TESTS}::TestUpkeep::test_next_versions_chunk_takes_no_checked_ones_place",
+        f"{SWARM_TESTS}::TestReconciler::test_next_versions_chunk_overwrites_no_verified_one",
     ),
     Safeguard(
         "swarm: a part that was fetched is loaded",
         f"{SWARM}/_reconciler.py",
         "if state.span is None:\n            return True",
         "if state.span is None:\n            return self._means.is_cold()",
-        f"{SWARM_TESTS}::TestUpkeep::test_part_is_loaded_though_others_were_faster",
+        f"{SWARM_TESTS}::TestReconciler::test_part_is_loaded_though_others_were_faster",
     ),
     Safeguard(
         "swarm: a stalled fetch keeps no requests away",
         f"{SWARM}/_reconciler.py",
-        "if holding.missing() and read_clock() - holding.added_at > STALL_SECONDS:",
+        "if version_chunks.list_missing()"
+        " and read_clock() - version_chunks.added_at > STALL_SECONDS:",
         "if False:",
-        f"{SWARM_TESTS}::TestUpkeep::test_stalled_fetch_keeps_no_requests_away",
+        f"{SWARM_TESTS}::TestReconciler::test_stalled_fetch_keeps_no_requests_away",
     ),
     Safeguard(
         "adapter: the newest incarnation at an address counts",
@@ -429,7 +431,7 @@
         f"{SWARM}/_reconciler.py",
         "for each in self._wanted if each.number > state.version)",
         "for each in [self._current] if each.number > state.version)",
-        f"{SWARM_TESTS}::TestUpkeep"
+        f"{SWARM_TESTS}::TestReconciler"
         "::test_requests_are_kept_away_while_the_version_after_is_fetched",
     ),
     Safeguard(
@@ -511,11 +513,11 @@
         "::test_late_chunks_are_everybody_s_and_pass_on",
     ),
     Safeguard(
-        "agents follow a bounded set of others",
+        "agents subscribe to a bounded set of others",
         f"{SWARM}/_neighbours.py",
-        "chosen += members[: MOST_NEAR if first.near else elsewhere]",
+        "chosen += members[: MAX_NEAR if first.near else elsewhere]",
         "chosen += members",
-        "packages/wrenloft-swarm/tests/test_neighbours.py::TestChooseFollowed"
+        "packages/wrenloft-swarm/tests/test_neighbours.py::TestChooseSubscriptions"
         "::test_connections_do_not_grow_with_the_fleet",
     ),
     Safeguard(
@@ -582,41 +584,41 @@
     Safeguard(
         "urgent chunks go first",
         f"{SWARM}/_upload_queue.py",
-        "(not urgent, next(self._order), turn)",
-        "(False, next(self._order), turn)",
-        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
+        "(not urgent, next(self._sequence), waiter)",
+        "(False, next(self._sequence), waiter)",
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadQueue"
         "::test_urgent_chunks_go_first_and_in_order",
     ),
     Safeguard(
-        "a slow receiver gives the link back",
+        "a slow receiver releases the link",
         f"{SWARM}/_upload_queue.py",
-        "call_later(ALONE_SECONDS, release)",
+        "call_later(EXCLUSIVE_SECONDS, release)",
         "call_later(1e6, release)",
-        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadQueue"
         "::test_slow_receiver_does_not_hold_the_link",
     ),
     Safeguard(
-        "a turn passes on when its asker has left",
+        "the link passes on when a granted request is cancelled",
         f"{SWARM}/_upload_queue.py",
-        "self._pass_on()  # it was",
-        "pass  # it was",
-        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
-        "::test_asker_that_leaves_holds_up_nobody",
+        "self._wake_next()  # the link",
+        "pass  # the link",
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadQueue"
+        "::test_cancelled_request_does_not_block_the_queue",
     ),
     Safeguard(
-        "chunks that lie staged are taken for the version on its way",
+        "staged chunks are recovered for the version being fetched",
         f"{SWARM}/_reconciler.py",
         "if self._is_first_fetch:",
         "if False:",
-        f"{SWARM_TESTS}::TestUpkeep::test_killed_agent_goes_on_where_it_was",
+        f"{SWARM_TESTS}::TestReconciler::test_killed_agent_resumes_the_fetch",
     ),
     Safeguard(
-        "nobody waits for the digests of what lies staged",
+        "no fetch waits for the digests of staged chunks",
         f"{SWARM}/_reconciler.py",
-        "timeout=RECOVER_FIRST_SECONDS)",
+        "timeout=RECOVERY_WAIT_SECONDS)",
         "timeout=None)",
-        f"{SWARM_TESTS}::TestUpkeep"
-        "::test_version_is_fetched_while_nobody_has_the_digests_of_what_lies_staged",
+        f"{SWARM_TESTS}::TestReconciler"
+        "::test_version_is_fetched_while_digests_of_staged_chunks_are_missing",
     ),
     Safeguard(
         "engines that are ready at different times keep one order",
--- a/packages/wrenloft-agent/src/wrenloft_agent/nodes/_requests.py
+++ b/packages/wrenloft-agent/src/wrenloft_agent/nodes/_requests.py
@@ -93,7 +93,7 @@
         except (KeyError, ValueError) as error:
             raise web.HTTPBadRequest(text=f"header missing or wrong: {error}") from error
         body = await request.read()
-        self._pacer.note_live(len(body))
+        self._pacer.record_live(len(body))
         if reason := self._find_refusal(call):
             return self._refuse(reason)
         run = self._runs.open(call.request_id, idempotent=call.idempotent)
@@ -192,7 +192,7 @@
             if len(run.body) > sent:
                 piece = bytes(memoryview(run.body)[sent:])
                 sent += len(piece)
-                self._pacer.note_live(len(piece))
+                self._pacer.record_live(len(piece))
                 await response.write(piece)
             if run.ended and sent >= len(run.body):
                 break
--- a/packages/wrenloft-agent/src/wrenloft_agent/origin/_client.py
+++ b/packages/wrenloft-agent/src/wrenloft_agent/origin/_client.py
@@ -47,7 +47,7 @@
                 response.raise_for_status()
                 async for piece in response.content.iter_chunked(_PIECE):
                     data += piece
-                    await self._pacer.carry(len(piece))
+                    await self._pacer.acquire(len(piece))
         except (ClientError, TimeoutError) as error:
             raise self._fail("fetch-from-origin", error) from error
         return bytes(data)
--- a/packages/wrenloft-agent/src/wrenloft_agent/peers/_client.py
+++ b/packages/wrenloft-agent/src/wrenloft_agent/peers/_client.py
@@ -108,7 +108,7 @@
             response.raise_for_status()
             async for piece in response.content.iter_chunked(_PIECE):
                 data += piece
-                await pacer.carry(len(piece))
+                await pacer.acquire(len(piece))
     except (ClientError, TimeoutError) as error:
         reason = str(error) or type(error).__name__
         raise PlatformUnavailableError(
--- a/packages/wrenloft-agent/src/wrenloft_agent/peers/_server.py
+++ b/packages/wrenloft-agent/src/wrenloft_agent/peers/_server.py
@@ -56,7 +56,7 @@
         view = memoryview(data)
         for at in range(0, len(data), _PIECE):
             piece = view[at : at + _PIECE]
-            await self._pacer.carry(len(piece))
+            await self._pacer.acquire(len(piece))
             await response.write(piece)
         return response
 
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/__init__.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/__init__.py
@@ -1,6 +1,6 @@
-"""Weights by a swarm of agents, each of which orders only its own engine."""
+"""Distribution of weights by a swarm of agents, each of which controls its own engine."""
 
-from wrenloft_swarm._chunk_store import Holding, Holdings, VersionName
+from wrenloft_swarm._chunk_store import ChunkStore, VersionChunks, VersionName
 from wrenloft_swarm._ports import (
     Engine,
     EngineState,
@@ -8,25 +8,25 @@
     OrderResult,
     WeightsOrigin,
 )
+from wrenloft_swarm._reconciler import Reconciler, ReconcilerContext
 from wrenloft_swarm._server import UPLOAD_SHARE, LatestState, SwarmRoutes
 from wrenloft_swarm._settings import AgentSettings
 from wrenloft_swarm._transfer import SwarmTransfer
-from wrenloft_swarm._reconciler import Means, Upkeep
 
 __all__ = [
     "UPLOAD_SHARE",
     "AgentSettings",
+    "ChunkStore",
     "Engine",
     "EngineState",
-    "Holding",
-    "Holdings",
     "LatestState",
-    "Means",
     "Neighbour",
     "OrderResult",
+    "Reconciler",
+    "ReconcilerContext",
     "SwarmRoutes",
     "SwarmTransfer",
-    "Upkeep",
+    "VersionChunks",
     "VersionName",
     "WeightsOrigin",
 ]
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_assignments.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_assignments.py
@@ -1,22 +1,22 @@
-"""Which agents fetch a chunk for the others: from the origin, and across regions."""
+"""Assignment of chunks to the agents that fetch them from the origin and across regions."""
 
 from collections.abc import Callable, Sequence
 
 from wrenloft_policy import FEEDERS, TURN_SECONDS, list_feeders, pick_parts
 from wrenloft_swarm._ports import Neighbour
 
-LEAST_AT_ORIGIN = 3
-"""Agents of the origin's region that suffice to use up the origin's link, twice a host's."""
+MIN_AT_ORIGIN = 3
+"""Agents of the origin's region that can use all of the origin's link, twice a host's rate."""
 
 
-class Duties:
-    """Who brings which chunks, as every agent works it out from the same list.
+class Assignments:
+    """Chunks assigned to each agent, computed by every agent from the same list.
 
-    An agent's duty is the part of the version that its own engine loads first; the chunks that it
-    brings for others are then the ones that it waits for itself.
+    An agent is assigned the part of the version that its own engine loads first, so that it fetches
+    for others the chunks that it needs first itself.
 
-    :param parts: into how many parts a version is split.
-    :param chunks: chunks of a version.
+    :param parts: number of parts that the version is split into.
+    :param chunks: number of chunks of the version.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self._chunks = chunks
         near = [own, *(each for each in others if each.near)]
         at_origin = [each for each in everyone if each.at_origin]
-        if len(at_origin) < LEAST_AT_ORIGIN:
+        if len(at_origin) < MIN_AT_ORIGIN:
             at_origin = everyone
         first = sorted(each.address for each in at_origin)
         self._order = first + [each for each in self.addresses if each not in set(first)]
@@ -40,46 +40,46 @@
         self._at_origin = self._split(at_origin)
 
     def _split(self, members: Sequence[Neighbour]) -> list[list[str]]:
-        """Sort members by their part; a part without any is everybody's."""
+        """Group members by part; a part without members is assigned to all of them."""
         addresses = sorted(each.address for each in members)
         split: list[list[str]] = [[] for _ in range(self._parts)]
         for address in addresses:
             split[self._part_by_address[address]].append(address)
         return [each or addresses for each in split]
 
-    def part_of(self, chunk: int) -> int:
+    def find_part(self, chunk: int) -> int:
         """Return the part that a chunk belongs to."""
         return chunk * self._parts // self._chunks
 
     def is_first_region(self, chunk: int) -> bool:
-        """Tell whether this region takes a chunk straight from the origin's region."""
+        """Return whether this region fetches a chunk directly from the origin's region."""
         return not self._far_regions or (
             self._far_regions[chunk % len(self._far_regions)] == self._region
         )
 
     def count_at_origin(self) -> int:
-        """Return how many agents fetch from the origin in turns."""
+        """Return the number of agents among which fetches from the origin are shared out."""
         return len({address for part in self._at_origin for address in part})
 
-    def list_carriers(self, chunk: int) -> list[str]:
-        """Return the agents of this region that may bring a chunk over from another one."""
-        return self._near[self.part_of(chunk)]
+    def list_region_fetchers(self, chunk: int) -> list[str]:
+        """Return the agents of this region that may fetch a chunk from another region."""
+        return self._near[self.find_part(chunk)]
 
     @property
     def rank_at_origin(self) -> int:
-        """This agent's place in the order in which agents ask the origin out of turn."""
+        """This agent's rank among those that fetch from the origin without an assignment."""
         return self._order.index(self._own)
 
-    def remember_feeders(
+    def bind_origin_fetchers(
         self, late: float, drain_seconds: float = 0.0
     ) -> Callable[[int], list[str]]:
-        """Return what gives the agents among which a chunk's fetch from the origin is shared out.
+        """Return a function from a chunk to the agents that may fetch it from the origin.
 
         :param late: seconds for which chunks have been late.
-        :param drain_seconds: in which the origin's link carries a version; a chunk passes on to
-            the next agent no sooner.
+        :param drain_seconds: time for one copy of the version on the origin's link, the least time
+            before a chunk is reassigned to the next agent.
         """
         each = max(1, FEEDERS // self._parts)
         turn = max(TURN_SECONDS, drain_seconds)
-        feeders = [list_feeders(members, late, turn, each) for members in self._at_origin]
-        return lambda chunk: feeders[self.part_of(chunk)]
+        origin_fetchers = [list_feeders(members, late, turn, each) for members in self._at_origin]
+        return lambda chunk: origin_fetchers[self.find_part(chunk)]
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_neighbours.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_neighbours.py
@@ -1,4 +1,4 @@
-"""What the neighbours hold of one version, and fetching chunks from them."""
+"""Neighbours of an agent: the chunks that they have, and fetching from them."""
 
 import asyncio
 import json
@@ -12,39 +12,39 @@
 from wrenloft_swarm._chunk_store import VersionName
 from wrenloft_swarm._ports import Neighbour, Urgency
 
-CONNECT_SECONDS = 1.0
-"""Longest wait for a connection; its packets queue behind four chunks, 0.2 s, at either end."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+"""Connection timeout; packets may queue behind four chunks, 0.2 s, at either end."""
 
-SILENCE_SECONDS = 3.0
-"""Silence of a neighbour's list after which its connection is opened anew."""
+STREAM_TIMEOUT_SECONDS = 3.0
+"""Read timeout of a neighbour's bitmap stream, after which it is opened again."""
 
-CHUNK_SECONDS = 2.0
-"""Longest time for a chunk from a neighbour: it takes 54 ms alone, and 0.5 s beside seven more."""
+CHUNK_TIMEOUT_SECONDS = 2.0
+"""Timeout of a chunk from a neighbour: it takes 54 ms alone, and 0.5 s beside seven more."""
 
-DIGESTS_SECONDS = 1.0
+DIGESTS_TIMEOUT_SECONDS = 1.0
 BUSY_SECONDS = 0.1
-"""How long a neighbour that sends to enough others is passed over: two chunks leave meanwhile."""
+"""Time for which a neighbour with all upload slots in use is skipped: it sends two chunks in it."""
 
-_PENALTY_SECONDS = 0.5
-_PENALTY_LONGEST = 4.0
+_MIN_PENALTY_SECONDS = 0.5
+_MAX_PENALTY_SECONDS = 4.0
 
 
-MOST_NEAR = 16
-"""Agents of the own region that are followed. In a random graph of this degree a chunk is two hops
-from everybody; to follow all was 118 connections an agent at 119, each with ten messages a
-second."""
+MAX_NEAR = 16
+"""Subscriptions to agents of the own region. In a random graph of this degree every agent is two
+hops from any chunk. Subscriptions to all of 119 agents would be 118 connections for each, with ten
+messages a second on each."""
 
-MOST_AT_ORIGIN = 8
-"""Agents of the origin's region that are followed from elsewhere: twice those that fetch there."""
+MAX_AT_ORIGIN = 8
+"""Subscriptions from elsewhere to agents of the origin's region: twice the origin fetchers."""
 
-MOST_ELSEWHERE = 4
-"""Agents followed of each other region, which pass on what they took from the origin's."""
+MAX_ELSEWHERE = 4
+"""Subscriptions to agents of each other region, which send chunks fetched from the origin's."""
 
 
-def choose_followed(own: Neighbour, others: Sequence[Neighbour]) -> list[Neighbour]:
-    """Choose the agents whose possessions this one follows, few in a fleet of any size.
+def choose_subscriptions(own: Neighbour, others: Sequence[Neighbour]) -> list[Neighbour]:
+    """Choose the agents whose bitmaps this one subscribes to, few in a fleet of any size.
 
-    Each agent draws its own by hash, so that none is followed by all.
+    Agents are ranked by a hash that includes the own address, so that none has all as subscribers.
     """
 
     def rank(each: Neighbour) -> bytes:
@@ -56,37 +56,42 @@
     chosen = []
     for members in by_region.values():
         first = members[0]
-        elsewhere = MOST_AT_ORIGIN if first.at_origin else MOST_ELSEWHERE
-        chosen += members[: MOST_NEAR if first.near else elsewhere]
+        elsewhere = MAX_AT_ORIGIN if first.at_origin else MAX_ELSEWHERE
+        chosen += members[: MAX_NEAR if first.near else elsewhere]
     return chosen
 
 
 class NeighbourBusyError(PlatformUnavailableError):
-    """The neighbour sends to as many others as it may."""
+    """The neighbour has no free upload slot."""
 
 
 @dataclass(slots=True)
-class Followed:
-    """A neighbour, what it holds and how it has behaved."""
+class NeighbourState:
+    """A neighbour with its chunk bitmap and the state of fetches from it.
+
+    :ivar bitmap: bit ``n`` is set if it has chunk ``n``.
+    :ivar busy: fetches in progress from it.
+    :ivar failures: failed fetches in a row.
+    """
 
     neighbour: Neighbour
-    held: int = 0
+    bitmap: int = 0
     connected: bool = False
     busy: int = 0
     failures: int = 0
     avoided_until: float = 0.0
 
     def record_failure(self) -> None:
-        """Avoid it for a while, longer each time in a row."""
-        pause = min(_PENALTY_LONGEST, _PENALTY_SECONDS * 2**self.failures)
+        """Avoid the neighbour for a while, twice as long after each further failure in a row."""
+        pause = min(_MAX_PENALTY_SECONDS, _MIN_PENALTY_SECONDS * 2**self.failures)
         self.failures += 1
         self.avoided_until = read_clock() + pause
 
 
-class Possessions:
-    """Follows what each neighbour holds of one version.
+class BitmapSubscriptions:
+    """Subscriptions to the neighbours' chunk bitmaps of one version.
 
-    :param wake: called whenever something has changed.
+    :param wake: set when a bitmap is received.
     """
 
     def __init__(self, name: VersionName, session: ClientSession, wake: asyncio.Event) -> None:
@@ -94,39 +99,41 @@
         self._session = session
         self._wake = wake
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self.known: dict[str, Followed] = {}
+        self.states: dict[str, NeighbourState] = {}
 
     def update(self, neighbours: Sequence[Neighbour]) -> None:
-        """Follow exactly these neighbours."""
+        """Subscribe to these neighbours, and cancel all other subscriptions."""
         wanted = {each.address: each for each in neighbours}
-        for address in self.known.keys() - wanted.keys():
-            del self.known[address]
+        for address in self.states.keys() - wanted.keys():
+            del self.states[address]
             self._tasks.pop(address).cancel()
-        for address in wanted.keys() - self.known.keys():
-            followed = Followed(wanted[address])
-            self.known[address] = followed
-            self._tasks[address] = asyncio.create_task(self._follow(followed))
+        for address in wanted.keys() - self.states.keys():
+            state = NeighbourState(wanted[address])
+            self.states[address] = state
+            self._tasks[address] = asyncio.create_task(self._subscribe(state))
 
     async def close(self) -> None:
-        """Stop following."""
+        """Cancel all subscriptions."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
-    async def _follow(self, followed: Followed) -> None:
-        url = f"http://{followed.neighbour.address}/held/{self._name.model}/{self._name.number}"
-        timeout = ClientTimeout(total=None, sock_connect=CONNECT_SECONDS, sock_read=SILENCE_SECONDS)
+    async def _subscribe(self, state: NeighbourState) -> None:
+        url = f"http://{state.neighbour.address}/held/{self._name.model}/{self._name.number}"
+        timeout = ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_SECONDS, sock_read=STREAM_TIMEOUT_SECONDS
+        )
         while True:
             try:
                 async with self._session.get(url, timeout=timeout) as response:
                     response.raise_for_status()
                     async for line in response.content:
-                        followed.held = int(line, 16)
-                        followed.connected = True
+                        state.bitmap = int(line, 16)
+                        state.connected = True
                         self._wake.set()
             except (ClientError, OSError, TimeoutError, ValueError):
-                followed.connected = False
-            await asyncio.sleep(CONNECT_SECONDS)
+                state.connected = False
+            await asyncio.sleep(CONNECT_TIMEOUT_SECONDS)
 
 
 async def fetch_chunk(
@@ -134,19 +141,19 @@
 ) -> bytes:
     """Fetch one chunk from a neighbour, unchecked.
 
-    :raises PlatformUnavailableError: if it does not come whole and in time.
+    :raises PlatformUnavailableError: if it isn't received completely before the timeout.
     """
     url = f"http://{address}/chunks/{name.model}/{name.number}/{chunk}?urgency={urgency.value}"
-    return await _read(session, url, CHUNK_SECONDS, "fetch-from-neighbour", address)
+    return await _read(session, url, CHUNK_TIMEOUT_SECONDS, "fetch-from-neighbour", address)
 
 
 async def fetch_digests(session: ClientSession, address: str, name: VersionName) -> tuple[str, ...]:
     """Fetch the digests of a version from a neighbour.
 
-    :raises PlatformUnavailableError: if it does not have them.
+    :raises PlatformUnavailableError: if the neighbour doesn't return them.
     """
     url = f"http://{address}/digests/{name.model}/{name.number}"
-    data = await _read(session, url, DIGESTS_SECONDS, "fetch-digests", address)
+    data = await _read(session, url, DIGESTS_TIMEOUT_SECONDS, "fetch-digests", address)
     try:
         return tuple(json.loads(data)["digests"])
     except (ValueError, KeyError, TypeError) as error:
@@ -154,11 +161,11 @@
 
 
 async def _read(session: ClientSession, url: str, seconds: float, step: str, peer: str) -> bytes:
-    timeout = ClientTimeout(total=seconds, sock_connect=CONNECT_SECONDS)
+    timeout = ClientTimeout(total=seconds, sock_connect=CONNECT_TIMEOUT_SECONDS)
     try:
         async with session.get(url, timeout=timeout) as response:
             if response.status == 429:
-                raise NeighbourBusyError("sends to others", step=step, peer=peer)
+                raise NeighbourBusyError("no free upload slot", step=step, peer=peer)
             if response.status != 200:
                 reason = f"status {response.status}"
                 raise PlatformUnavailableError(reason, step=step, peer=peer)
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_ports.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_ports.py
@@ -1,4 +1,4 @@
-"""What the upkeep of an engine needs of the engine, the origin and the list of hosts."""
+"""Interfaces of the engine, the origin and the list of hosts that a reconciler uses."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says of itself.
+    """The state that an engine reports.
 
     :param version: version in service, 0 if none.
     :param loading: whether an order is in progress.
     :param span: the layers of that version in service, ``None`` if there are none.
-    :param sequence: orders accepted since its start.
-    :param born: when it was started, in milliseconds; tells incarnations of one id apart.
+    :param sequence: number of orders accepted since its start.
+    :param born: start time in milliseconds, which distinguishes incarnations of one id.
     """
 
     running: int
@@ -28,22 +28,22 @@
     span: LayerSpan | None = EVERY_LAYER
     born: int = 0
 
-    def holds(self, number: int, span: LayerSpan) -> bool:
-        """Tell whether layers of a version, or of a newer one, are in service."""
+    def serves(self, number: int, span: LayerSpan) -> bool:
+        """Return whether layers of a version, or any newer version, are in service."""
         if self.version != number:
             return self.version > number
         return self.span is not None and self.span.holds(span)
 
 
 class Urgency(Enum):
-    """What a chunk is fetched for."""
+    """The purpose of a chunk's fetch."""
 
     FIRST_PART = "first"
     REST = "rest"
 
 
 class OrderResult(Enum):
-    """What an engine answered to an order."""
+    """An engine's answer to an order."""
 
     ACCEPTED = "accepted"
     BUSY = "busy"
@@ -51,39 +51,39 @@
 
 
 class Engine(Protocol):
-    """The engine beside this agent. Every method raises ``PlatformUnavailableError``."""
+    """The engine on this agent's host. Every method raises ``PlatformUnavailableError``."""
 
     async def report(self) -> EngineState:
-        """Return its state now."""
+        """Return the engine's current state."""
 
     async def list_staged(self, name: VersionName) -> set[int]:
-        """Return the chunks that lie staged, whatever their version."""
+        """Return the numbers of the staged chunks, whatever their version."""
 
     async def read_staged(self, name: VersionName, chunk: int) -> bytes | None:
-        """Return one staged chunk."""
+        """Return one staged chunk, ``None`` if it isn't staged."""
 
     async def stage(self, name: VersionName, chunk: int, data: bytes) -> None:
-        """Stage one chunk, over whatever lies there."""
+        """Stage one chunk, replacing any staged chunk of the same number."""
 
     async def order(self, name: VersionName, span: LayerSpan) -> OrderResult:
-        """Order it to load layers from what is staged."""
+        """Order the engine to load layers from the staged chunks."""
 
 
 class WeightsOrigin(Protocol):
-    """The origin. Every method raises ``PlatformUnavailableError``."""
+    """The origin of weights. Every method raises ``PlatformUnavailableError``."""
 
     async def fetch_digests(self, name: VersionName) -> tuple[str, ...]:
         """Return the digest of each chunk."""
 
     async def fetch_chunk(self, name: VersionName, chunk: int) -> bytes:
-        """Return one chunk, unchecked."""
+        """Return one chunk, unverified."""
 
 
 @dataclass(frozen=True, slots=True)
 class Neighbour:
     """Another host that runs an agent for the same engines.
 
-    :param address: of its agent.
+    :param address: the agent's address.
     :param near: whether it is in the same region.
     :param at_origin: whether it is in the origin's region.
     """
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_server.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_server.py
@@ -1,4 +1,4 @@
-"""What an agent gives to others: its engine's reports, what it holds, and chunks."""
+"""Routes of an agent for others: engine reports, chunk bitmaps, digests and chunks."""
 
 import asyncio
 import json
@@ -11,85 +11,89 @@
 
 from wrenloft_core import ModelName, Pacer, note, read_clock
 from wrenloft_policy import LayerSpan
-from wrenloft_swarm._chunk_store import Holding, Holdings, VersionName
+from wrenloft_swarm._chunk_store import ChunkStore, VersionChunks, VersionName
 from wrenloft_swarm._ports import EngineState, Urgency
-from wrenloft_swarm._upload_queue import UploadTurns
+from wrenloft_swarm._upload_queue import UploadQueue
 
 _LOG = logging.getLogger(__name__)
 
-REPORT_SECONDS = 0.2
-"""Least time between two reports to a relay that differ in the engine's load only. What entry
-nodes have in progress says the same sooner; what an engine serves is told at once."""
+MIN_REPORT_SECONDS = 0.2
+"""Least time between two reports to a relay that differ in the engine's load only: entry nodes know
+the load sooner from their own requests in progress. A change of what the engine serves is sent
+immediately."""
 
-REPORT_IDLE_SECONDS = 0.4
-"""Longest time between two, so that silence for a second shows a dead connection."""
+MAX_REPORT_SECONDS = 0.4
+"""Longest time between two messages, so that a second without one indicates a dead connection."""
 
-POSSESSION_SECONDS = 0.03
-"""Least time between two messages of what is held to one neighbour: a round trip to any region."""
+BITMAP_INTERVAL_SECONDS = 0.03
+"""Least time between two bitmaps to one neighbour: a round trip to any region."""
 
-POSSESSIONS_PER_SECOND = 80.0
-"""Such messages a second to all neighbours together, so that an agent's part does not grow with
-the fleet."""
+BITMAPS_PER_SECOND = 80.0
+"""Bitmaps a second to all neighbours, so that an agent's load doesn't grow with the fleet."""
 
-POSSESSION_BURST = 240.0
-"""Such messages that may go out at once after a calm time: the first ten chunks to 24 neighbours. A
-new version spreads by doubling; while each hop waited 0.3 s for its turn to tell of a chunk, the
-uplinks of most agents rested for the first two seconds."""
+BITMAP_BURST = 240.0
+"""Bitmaps that may be sent at once after an idle time: for the first ten chunks to 24 neighbours. A
+new version spreads by doubling; a delay of 0.3 s for the bitmap at each hop leaves the uplinks of
+most agents idle for the first two seconds."""
 
-UPLOADS = 6
-"""Chunks asked for at once, of which one is sent and the others wait for their turn, so that the
-link does not rest between two. A further one is refused, and asked of another neighbour."""
+MAX_UPLOADS = 6
+"""Uploads accepted at once. One is sent and the others are queued, so that the link isn't idle
+between two. Further requests are refused, and the neighbour asks another agent."""
 
-REST_UPLOADS = 4
-"""The same for agents that are not served first; they take what the others leave."""
+MAX_REST_UPLOADS = 4
+"""The same for requests of urgency ``REST``, which use spare capacity only."""
 
 UPLOAD_SHARE = 0.82
-"""Part of the link that chunks sent to others may use. The engine's streams leave by the same
-link: at full rate over half of the streams came late while weights moved, at 0.9 a fifth of all
-requests, at 0.82 one to four in a hundred (one play of a day with one new version each)."""
+"""Part of the link that chunks sent to others may use. The engine's streams use the same link: at
+the full rate over half of the streams are late while weights move, at 0.9 a fifth of all requests,
+and at 0.82 one to four in a hundred."""
 
-_PIECE_BYTES = 2880
-"""Bytes written at a time: two packets, 6 ms of the link, which an event may have to wait."""
+_WRITE_BYTES = 2880
+"""Bytes written at a time: two packets, 6 ms of the link, for which a stream's event may wait."""
 
 
 MESSAGES = Counter("wrenloft_agent_messages", "Messages sent to other processes", ["kind"])
 
 
 class LatestState:
-    """The engine's last report, and a signal when there is a newer one.
-
-    ``yielding`` is set while requests are kept away from an engine that still serves, because it
-    is about to go on to another version. ``service_changed`` tells of a change of what it serves.
+    """The engine's last report, and events for changes of it.
+
+    :ivar state: the report, ``None`` if the engine didn't answer.
+    :ivar received_at: time of the report.
+    :ivar swap_pending: whether the engine, which still serves, is about to swap to another version
+        and should receive no new requests.
+    :ivar changed: set, and replaced, on any change.
+    :ivar service_changed: set, and replaced, when what the engine serves changes.
     """
 
     def __init__(self) -> None:
         self.service_changed = asyncio.Event()
         self.state: EngineState | None = None
-        self.at = 0.0
-        self.yielding = False
+        self.received_at = 0.0
+        self.swap_pending = False
         self.changed = asyncio.Event()
 
-    def set_yielding(self, yielding: bool) -> None:
-        """Tell entry nodes that the engine takes nothing new, or that it does again."""
-        if yielding != self.yielding:
-            self.yielding = yielding
+    def set_swap_pending(self, swap_pending: bool) -> None:
+        """Set whether entry nodes should stop sending new requests to the engine."""
+        if swap_pending != self.swap_pending:
+            self.swap_pending = swap_pending
             self.changed.set()
             self.changed = asyncio.Event()
-            self._tell_service_changed()
+            self._notify_service_changed()
 
     def set(self, state: EngineState | None) -> None:
-        """Take a report, or none if the engine did not answer."""
+        """Set the report, ``None`` if the engine didn't answer."""
         differs = state != self.state
         serves_other = _describe_service(state) != _describe_service(self.state)
         self.state = state
-        self.at = read_clock()
+        self.received_at = read_clock()
         if differs:
             self.changed.set()
             self.changed = asyncio.Event()
         if serves_other:
-            self._tell_service_changed()
+            self._notify_service_changed()
 
-    def _tell_service_changed(self) -> None:
+    def _notify_service_changed(self) -> None:
         self.service_changed.set()
         self.service_changed = asyncio.Event()
 
@@ -101,14 +105,15 @@
 class SwarmRoutes:
     """Routes for entry nodes and for other agents.
 
-    :param pacer: for all chunks sent from here.
-    :param on_relay: called with the address of each entry node that follows the reports.
-    :param on_version: called with each model and version that others ask for.
+    :param is_stopping: returns whether the agent is shutting down.
+    :param on_version: called with each model and version that others request.
+    :param pacer: paces all chunks sent from here.
+    :param on_relay: called with the address of each entry node that subscribes to the reports.
     """
 
     def __init__(
         self,
-        holdings: Holdings,
+        chunk_store: ChunkStore,
         latest: LatestState,
         is_stopping: Callable[[], bool],
         on_version: Callable[[str, int], None],
@@ -116,22 +121,22 @@
         on_relay: Callable[[str], None],
     ) -> None:
         self._on_relay = on_relay
-        self._possessions = Pacer(POSSESSIONS_PER_SECOND, POSSESSION_BURST)
+        self._bitmap_pacer = Pacer(BITMAPS_PER_SECOND, BITMAP_BURST)
         self._pacer = pacer
         self._on_version = on_version
-        self._holdings = holdings
+        self._chunk_store = chunk_store
         self._latest = latest
         self._is_stopping = is_stopping
         self._uploads = 0
-        self._turns = UploadTurns()
+        self._queue = UploadQueue()
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes."""
         return [
-            web.get("/reports", _end_quietly(self._stream_reports)),
-            web.get("/held/{model}/{version}", _end_quietly(self._stream_held)),
+            web.get("/reports", _log_disconnect(self._stream_reports)),
+            web.get("/held/{model}/{version}", _log_disconnect(self._stream_bitmaps)),
             web.get("/digests/{model}/{version}", self._send_digests),
-            web.get("/chunks/{model}/{version}/{chunk}", _end_quietly(self._send_chunk)),
+            web.get("/chunks/{model}/{version}/{chunk}", _log_disconnect(self._send_chunk)),
         ]
 
     async def _stream_reports(self, request: web.Request) -> web.StreamResponse:
@@ -143,55 +148,55 @@
             if (state := self._latest.state) is not None:
                 fields = asdict(state)
                 del fields["sequence"]
-                if self._latest.yielding:
+                if self._latest.swap_pending:
                     fields["span"] = None
                 await response.write(json.dumps(fields).encode() + b"\n")
                 MESSAGES.labels("report").inc()
-            # What an engine serves is told at once: each tenth of a second later, requests go to
-            # one that takes none, or callers are refused though one is back.
-            await _wait(service_changed, REPORT_SECONDS)
+            # A change of what the engine serves is sent at once: until entry nodes receive it, they
+            # send requests to an engine that refuses them, or refuse callers that it could serve.
+            await _wait(service_changed, MIN_REPORT_SECONDS)
             if not service_changed.is_set():
-                await _wait(changed, REPORT_IDLE_SECONDS - REPORT_SECONDS)
+                await _wait(changed, MAX_REPORT_SECONDS - MIN_REPORT_SECONDS)
         return response
 
-    async def _stream_held(self, request: web.Request) -> web.StreamResponse:
+    async def _stream_bitmaps(self, request: web.Request) -> web.StreamResponse:
         name = _read_name(request)
-        # Whoever asks for a version has heard of it from the store, perhaps before this agent.
+        # The neighbour may have learnt of the version from the store before this agent.
         self._on_version(name.model, name.number)
         response = web.StreamResponse()
         await response.prepare(request)
-        await self._write_possessions(response, name)
+        await self._write_bitmaps(response, name)
         return response
 
-    async def _write_possessions(self, response: web.StreamResponse, name: VersionName) -> None:
-        told = -1
+    async def _write_bitmaps(self, response: web.StreamResponse, name: VersionName) -> None:
+        sent_bitmap = -1
         while not self._is_stopping():
-            holding = self._holdings.get(name)
-            mask = holding.mask if holding is not None else 0
-            if mask != told:
-                await self._possessions.carry(1)
-                told = mask if holding is None else holding.mask
-                await response.write(f"{told:x}\n".encode())
+            version_chunks = self._chunk_store.get(name)
+            bitmap = version_chunks.bitmap if version_chunks is not None else 0
+            if bitmap != sent_bitmap:
+                await self._bitmap_pacer.acquire(1)
+                sent_bitmap = bitmap if version_chunks is None else version_chunks.bitmap
+                await response.write(f"{sent_bitmap:x}\n".encode())
                 MESSAGES.labels("possession").inc()
-            await asyncio.sleep(POSSESSION_SECONDS)
-            if holding is not None and holding.mask == told:
-                await _wait(holding.changed, REPORT_IDLE_SECONDS)
+            await asyncio.sleep(BITMAP_INTERVAL_SECONDS)
+            if version_chunks is not None and version_chunks.bitmap == sent_bitmap:
+                await _wait(version_chunks.changed, MAX_REPORT_SECONDS)
 
     async def _send_digests(self, request: web.Request) -> web.Response:
-        holding = self._find(request)
-        return web.json_response({"digests": holding.digests})
+        version_chunks = self._find(request)
+        return web.json_response({"digests": version_chunks.digests})
 
     async def _send_chunk(self, request: web.Request) -> web.StreamResponse:
-        holding = self._find(request)
-        data = holding.get(_read_integer(request, "chunk"))
+        version_chunks = self._find(request)
+        data = version_chunks.get(_read_integer(request, "chunk"))
         if data is None:
             raise web.HTTPNotFound
         rest = request.query.get("urgency") == Urgency.REST.value
-        if self._uploads >= (REST_UPLOADS if rest else UPLOADS):
+        if self._uploads >= (MAX_REST_UPLOADS if rest else MAX_UPLOADS):
             raise web.HTTPTooManyRequests
         self._uploads += 1
         try:
-            async with self._turns.take(urgent=not rest):
+            async with self._queue.reserve(urgent=not rest):
                 return await self._send_paced(request, data)
         finally:
             self._uploads -= 1
@@ -200,34 +205,40 @@
         response = web.StreamResponse()
         response.content_length = len(data)
         await response.prepare(request)
-        for at in range(0, len(data), _PIECE_BYTES):
-            piece = data[at : at + _PIECE_BYTES]
-            await self._pacer.carry(len(piece))
+        for at in range(0, len(data), _WRITE_BYTES):
+            piece = data[at : at + _WRITE_BYTES]
+            await self._pacer.acquire(len(piece))
             await response.write(piece)
         await response.write_eof()
         return response
 
-    def _find(self, request: web.Request) -> Holding:
-        holding = self._holdings.get(_read_name(request))
-        if holding is None:
+    def _find(self, request: web.Request) -> VersionChunks:
+        version_chunks = self._chunk_store.get(_read_name(request))
+        if version_chunks is None:
             raise web.HTTPNotFound
-        return holding
+        return version_chunks
 
 
-def _end_quietly(
+def _log_disconnect(
     handler: Callable[[web.Request], Awaitable[web.StreamResponse]],
 ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-    """Answer with a handler, and say in one line that whoever asked has gone meanwhile.
+    """Wrap a handler to log a client's disconnect in one line.
 
-    A host that wakes from a freeze finds the connections of all others closed; the library logs
-    each with its whole stack.
+    After a suspension a host finds the connections of all others closed, and aiohttp would log each
+    with a stack trace.
     """
 
     async def handle(request: web.Request) -> web.StreamResponse:
         try:
             return await handler(request)
         except ConnectionResetError as error:
-            note(_LOG, "asker gone", path=request.path, peer=request.remote, reason=str(error))
+            note(
+                _LOG,
+                "client disconnected",
+                path=request.path,
+                peer=request.remote,
+                reason=str(error),
+            )
             raise asyncio.CancelledError from error
 
     return handle
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_settings.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_settings.py
@@ -1,22 +1,22 @@
-"""Settings of an agent that orders its own engine."""
+"""Settings of an agent."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """What an agent is told at its start.
+    """Settings of one agent, read at its start.
 
     :param ip: this host's address.
     :param regions: region of each availability zone.
     :param engine: address of the engine on this host.
-    :param service: the service whose endpoint it is.
+    :param service: the service that the engine is an endpoint of.
     :param internal_port: port for other nodes, the same on all hosts.
     :param store: address of the platform's store.
     :param link_rate: bits a second of this host's link.
-    :param grace: seconds from the signal to stop until the process is killed.
-    :param version: seconds from naming a version until requests begin on it only.
-    :param log_lines: lines a second logged at most.
+    :param grace: seconds from the termination signal until the process is killed.
+    :param version: seconds from setting a version until requests start on that version only.
+    :param log_lines: highest number of log lines a second.
     """
 
     name: str
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_transfer.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_transfer.py
@@ -1,4 +1,4 @@
-"""Fetching the chunks of one version, all or those of one part."""
+"""Transfer of the chunks of one version, or of one part of it, to this agent."""
 
 import asyncio
 import logging
@@ -16,91 +16,92 @@
     measure_lateness,
     measure_origin_patience,
 )
-from wrenloft_swarm._assignments import Duties
-from wrenloft_swarm._chunk_store import Holding
+from wrenloft_swarm._assignments import Assignments
+from wrenloft_swarm._chunk_store import VersionChunks
 from wrenloft_swarm._neighbours import (
     BUSY_SECONDS,
-    Followed,
+    BitmapSubscriptions,
     NeighbourBusyError,
-    Possessions,
-    choose_followed,
+    NeighbourState,
+    choose_subscriptions,
     fetch_chunk,
 )
 from wrenloft_swarm._ports import Neighbour, Urgency, WeightsOrigin
 
 _LOG = logging.getLogger(__name__)
 
-FETCHES = 5
-"""Chunks on their way here at once: the link carries one in 54 ms, a request and its answer take
-up to 10 ms across regions, and a source may be slow."""
+MAX_FETCHES = 5
+"""Chunks being fetched at once: the link takes 54 ms for a chunk, a round trip up to 10 ms across
+regions, and a source may be slow."""
 
-SOURCE_FETCHES = 2
-"""Chunks asked of one neighbour at once, so that the load spreads."""
+MAX_FETCHES_PER_SOURCE = 2
+"""Chunks requested from one neighbour at once, so that the load spreads."""
 
-ORIGIN_FETCHES = 3
-"""Chunks that a feeder asks of the origin at once: one on the link, one that the origin is reading
-the question for, and one more while a neighbour's chunk holds the first up."""
+MAX_ORIGIN_FETCHES = 3
+"""Chunks that an origin fetcher requests from the origin at once: one being sent, one whose request
+the origin is reading, and one more in case a neighbour's chunk delays the first."""
 
-ORIGIN_SILENCE_SECONDS = 0.6
-"""Time without a chunk from the origin after which it is taken for slow or away, and neighbours are
-asked beside it: with all feeders at once a chunk takes 0.3 s (computed from the two links)."""
+ORIGIN_STALL_SECONDS = 0.6
+"""Time without a chunk from the origin after which it counts as slow or unavailable, and neighbours
+are asked as well. By the rates of the two links, a chunk takes 0.3 s while all origin fetchers are
+active."""
 
 ORIGIN_COPIES = 2.0
-"""Copies of a version that may leave the origin, about. All agents' uplinks together bind: with one
-copy from the origin they carry 13 copies for 14 hosts, and the origin's link rests after 2.6 s."""
+"""Approximate copies of a version that the origin may send. The agents' uplinks are the bottleneck:
+after one copy from the origin they send 13 copies for 14 hosts, while the origin's link is idle
+after 2.6 s."""
 
-RELAY_SECONDS = 0.8
-"""How long a chunk is waited for in the region that takes it from the origin's first: its way there
-takes 0.2 to 0.4 s."""
+REGION_WAIT_SECONDS = 0.8
+"""How long other regions wait for a chunk to reach the region that fetches it first from the
+origin's region, which takes 0.2 to 0.4 s."""
 
-HEAR_SECONDS = 0.25
-"""Time for neighbours to say what they hold: a connection across regions takes 8 ms, behind chunks
-of another version up to 0.2 s."""
+BITMAP_WAIT_SECONDS = 0.25
+"""Time for neighbours to send their chunk bitmaps: a connection across regions takes 8 ms, or up to
+0.2 s behind chunks of another version."""
 
-DRAIN_SECONDS = 1.0
-"""Taken for the time in which the origin's link carries a version if its rate is not known."""
+DEFAULT_DRAIN_SECONDS = 1.0
+"""Assumed time for one copy of a version on the origin's link if the link's rate isn't known."""
 
-PROGRESS_SECONDS = 1.0
-"""Between two log lines on a transfer."""
+PROGRESS_LOG_SECONDS = 1.0
+"""Interval of progress log lines."""
 
-LEAST_REST_SECONDS = 0.02
-"""Least time between two choices that no chunk's arrival calls for. Thirty neighbours tell what
-they hold up to three hundred times a second in all; a choice takes 0.4 ms, all an eighth of a
-core."""
+MIN_CHOICE_SECONDS = 0.02
+"""Least time between two choices of fetches unless a chunk arrives. Thirty neighbours send up to
+300 bitmaps a second in all; at 0.4 ms a choice, one for each would take an eighth of a core."""
 
-_IDLE_SECONDS = 0.05
-_ORIGIN_PAUSE = 0.2
+_MAX_CHOICE_SECONDS = 0.05
+_ORIGIN_RETRY_SECONDS = 0.2
 
 FETCHED = Counter("wrenloft_agent_swarm_bytes", "Bytes of whole chunks fetched", ["source"])
-SPOILT = Counter("wrenloft_agent_swarm_spoilt", "Chunks whose digest differed", ["source"])
+CORRUPT = Counter("wrenloft_agent_swarm_spoilt", "Chunks whose digest differed", ["source"])
 
 
-def _describe_source(followed: Followed, now: float) -> ChunkSource:
-    """Return a neighbour as the choice reads it.
+def _describe_source(state: NeighbourState, now: float) -> ChunkSource:
+    """Return a neighbour in the form that ``choose_fetch`` takes.
 
-    One that is avoided for a moment is busy and not absent: what it holds need not be brought
-    over from another region.
+    A neighbour that is avoided for a moment counts as busy and not as absent, so that its chunks
+    aren't fetched from another region.
     """
-    busy = SOURCE_FETCHES if followed.avoided_until > now else followed.busy
-    neighbour = followed.neighbour
-    return ChunkSource(neighbour.address, followed.held, busy, neighbour.near)
+    busy = MAX_FETCHES_PER_SOURCE if state.avoided_until > now else state.busy
+    neighbour = state.neighbour
+    return ChunkSource(neighbour.address, state.bitmap, busy, neighbour.near)
 
 
 class SwarmTransfer:
-    """Chunks of one version on their way here.
+    """Fetches chunks of one version from neighbours and the origin.
 
     :param neighbours: returns the other agents as now known.
-    :param own: this agent as neighbours know it.
-    :param wanted: the chunks to fetch.
+    :param own: this agent as its neighbours see it.
+    :param wanted: numbers of the chunks to fetch, all by default.
     :param urgency: what they are fetched for.
-    :param parts: into how many parts the version is split for its first load.
-    :param drain_seconds: in which the origin's link carries a version.
-    :param on_kept: awaited with each chunk that was kept, and its bytes.
+    :param parts: number of parts that the version is split into for its first load.
+    :param drain_seconds: time for one copy of the version on the origin's link.
+    :param on_stored: awaited with the number and the bytes of each chunk that was stored.
     """
 
     def __init__(
         self,
-        holding: Holding,
+        version_chunks: VersionChunks,
         session: ClientSession,
         origin: WeightsOrigin,
         neighbours: Callable[[], list[Neighbour]],
@@ -110,14 +111,14 @@
         wanted: range | None = None,
         urgency: Urgency = Urgency.FIRST_PART,
         parts: int = 1,
-        drain_seconds: float = DRAIN_SECONDS,
-        on_kept: Callable[[int, bytes], Awaitable[None]] | None = None,
+        drain_seconds: float = DEFAULT_DRAIN_SECONDS,
+        on_stored: Callable[[int, bytes], Awaitable[None]] | None = None,
     ) -> None:
-        self._wanted = range(len(holding.digests)) if wanted is None else wanted
+        self._wanted = range(len(version_chunks.digests)) if wanted is None else wanted
         self._urgency = urgency
         self._parts = parts
-        self._on_kept = on_kept
-        self._holding = holding
+        self._on_stored = on_stored
+        self._version_chunks = version_chunks
         self._session = session
         self._origin = origin
         self._neighbours = neighbours
@@ -125,227 +126,242 @@
         self._random = random
         self._wake = asyncio.Event()
         self._arrived = asyncio.Event()
-        self._possessions = Possessions(holding.name, session, self._wake)
+        self._subscriptions = BitmapSubscriptions(version_chunks.name, session, self._wake)
         self._in_flight: set[int] = set()
-        self._from_origin = 0
-        self._repeated = 0
-        self._origin_after = 0.0
-        self._origin_heard_at = read_clock()
-        self._begun_at = self._received_at = read_clock()
-        self._noted_at = 0.0
-        self._any_held = 0
-        self._news_at = self._begun_at
+        self._origin_fetches = 0
+        self._repeated_fetches = 0
+        self._origin_retry_at = 0.0
+        self._origin_received_at = read_clock()
+        self._started_at = self._received_at = read_clock()
+        self._logged_at = 0.0
+        self._available_count = 0
+        self._available_at = self._started_at
         self._drain_seconds = drain_seconds
-        self._seen_at: dict[int, float] = {}
-        self._known: list[Neighbour] = []
-        self._duties = Duties(own, [], parts, len(holding.digests))
+        self._available_since: dict[int, float] = {}
+        self._known_neighbours: list[Neighbour] = []
+        self._assignments = Assignments(own, [], parts, len(version_chunks.digests))
         self._counts = {"near": 0, "far": 0, "origin": 0}
-        self.spoilt: dict[int, int] = {}
+        self.corrupt: dict[int, int] = {}
 
     async def run(self) -> None:
-        """Fetch until every chunk that is wanted is held."""
-        begun = self._begun_at
+        """Fetch until every wanted chunk is stored."""
+        started_at = self._started_at
         try:
             async with asyncio.TaskGroup() as group:
-                while self._holding.missing(self._wanted):
-                    self._note_progress(begun)
-                    self._take_neighbours(self._neighbours())
+                while self._version_chunks.list_missing(self._wanted):
+                    self._log_progress(started_at)
+                    self._update_neighbours(self._neighbours())
                     self._start_fetches(group)
-                    await self._rest()
+                    await self._wait_for_change()
         finally:
-            await self._possessions.close()
+            await self._subscriptions.close()
         note(
             _LOG,
             "chunks fetched",
-            model=self._holding.name.model,
-            version=self._holding.name.number,
+            model=self._version_chunks.name.model,
+            version=self._version_chunks.name.number,
             wanted=len(self._wanted),
-            held=self._holding.held,
+            held=self._version_chunks.stored_count,
             sources=self._counts,
-            ms=round((read_clock() - begun) * 1000),
+            ms=round((read_clock() - started_at) * 1000),
         )
 
-    def _take_neighbours(self, neighbours: list[Neighbour]) -> None:
-        """Work out anew who fetches what, and whom to follow, if hosts have come or gone.
+    def _update_neighbours(self, neighbours: list[Neighbour]) -> None:
+        """Update assignments and subscriptions if the neighbours have changed.
 
-        Turns are taken among all agents, followed or not: from different lists two would take
-        the same one.
+        Assignments are shared out among all agents, subscribed to or not: from different lists,
+        two agents would take the same chunk.
         """
-        if neighbours == self._known:
+        if neighbours == self._known_neighbours:
             return
-        self._known = neighbours
-        chunks = len(self._holding.digests)
-        self._duties = Duties(self._own, neighbours, self._parts, chunks)
-        self._possessions.update(choose_followed(self._own, neighbours))
+        self._known_neighbours = neighbours
+        chunks = len(self._version_chunks.digests)
+        self._assignments = Assignments(self._own, neighbours, self._parts, chunks)
+        self._subscriptions.update(choose_subscriptions(self._own, neighbours))
 
-    def _note_progress(self, begun: float) -> None:
+    def _log_progress(self, started_at: float) -> None:
         now = read_clock()
-        if now - self._noted_at < PROGRESS_SECONDS:
+        if now - self._logged_at < PROGRESS_LOG_SECONDS:
             return
-        self._noted_at = now
+        self._logged_at = now
         note(
             _LOG,
-            "version on its way",
-            version=self._holding.name.number,
-            ms=round((now - begun) * 1000),
-            held=self._holding.held,
+            "version transfer in progress",
+            version=self._version_chunks.name.number,
+            ms=round((now - started_at) * 1000),
+            held=self._version_chunks.stored_count,
             in_flight=len(self._in_flight),
             sources=self._counts,
-            connected=sum(each.connected for each in self._possessions.known.values()),
-            any_held=self._count_any_held(),
+            connected=sum(each.connected for each in self._subscriptions.states.values()),
+            any_held=self._count_available(),
         )
 
-    def _count_any_held(self) -> int:
-        held = self._holding.mask
-        for each in self._possessions.known.values():
-            held |= each.held
-        return held.bit_count()
+    def _count_available(self) -> int:
+        available = self._version_chunks.bitmap
+        for each in self._subscriptions.states.values():
+            available |= each.bitmap
+        return available.bit_count()
 
-    async def _rest(self) -> None:
-        """Wait until a fetch has ended, or a moment has passed and neighbours told something."""
-        await _wait(self._arrived, LEAST_REST_SECONDS)
+    async def _wait_for_change(self) -> None:
+        """Wait for the end of a fetch, or for a new bitmap after the least time between choices."""
+        await _wait(self._arrived, MIN_CHOICE_SECONDS)
         if not self._arrived.is_set():
-            await _wait(self._wake, _IDLE_SECONDS - LEAST_REST_SECONDS)
+            await _wait(self._wake, _MAX_CHOICE_SECONDS - MIN_CHOICE_SECONDS)
         self._arrived.clear()
         self._wake.clear()
 
     def _start_fetches(self, group: asyncio.TaskGroup) -> None:
-        while len(self._in_flight) < FETCHES and (pick := self._choose()):
+        while len(self._in_flight) < MAX_FETCHES and (pick := self._choose_next()):
             self._in_flight.add(pick.chunk)
-            # Counted before the task runs: the next choice of this loop must see it.
+            # Counted before the task runs, as the next choice of this loop depends on it.
             if pick.address is None:
-                self._from_origin += 1
-                self._repeated += pick.chunk in self._seen_at
+                self._origin_fetches += 1
+                self._repeated_fetches += pick.chunk in self._available_since
             else:
-                self._possessions.known[pick.address].busy += 1
+                self._subscriptions.states[pick.address].busy += 1
             group.create_task(self._fetch(pick))
 
-    def _choose(self) -> Pick | None:
+    def _choose_next(self) -> Pick | None:
         now = read_clock()
         missing = [
-            each for each in self._holding.missing(self._wanted) if each not in self._in_flight
+            each
+            for each in self._version_chunks.list_missing(self._wanted)
+            if each not in self._in_flight
         ]
-        usable = [each for each in self._possessions.known.values() if each.connected]
-        duties = self._duties
+        connected = [each for each in self._subscriptions.states.values() if each.connected]
+        assignments = self._assignments
         late = self._measure_lateness(now)
         return choose_fetch(
             missing,
-            [_describe_source(each, now) for each in usable],
+            [_describe_source(each, now) for each in connected],
             self._own.address,
-            duties.list_carriers,
-            duties.remember_feeders(late, self._drain_seconds),
-            lambda chunk: self._may_cross(chunk, duties, now),
-            self._measure_waits(missing, now),
+            assignments.list_region_fetchers,
+            assignments.bind_origin_fetchers(late, self._drain_seconds),
+            lambda chunk: self._can_cross_regions(chunk, assignments, now),
+            self._measure_wait_seconds(missing, now),
             now - self._received_at,
-            self._may_ask_origin(now),
-            now - self._origin_heard_at < ORIGIN_SILENCE_SECONDS,
-            self._may_repeat_origin(duties),
+            self._can_fetch_from_origin(now),
+            now - self._origin_received_at < ORIGIN_STALL_SECONDS,
+            self._can_repeat_from_origin(assignments),
             self._random,
-            SOURCE_FETCHES,
-            measure_origin_patience(duties.rank_at_origin),
+            MAX_FETCHES_PER_SOURCE,
+            measure_origin_patience(assignments.rank_at_origin),
         )
 
     def _measure_lateness(self, now: float) -> float:
-        held = self._count_any_held()
-        if held > self._any_held:
-            self._any_held, self._news_at = held, now
-        return measure_lateness(now - self._begun_at, now - self._news_at, self._drain_seconds)
+        available = self._count_available()
+        if available > self._available_count:
+            self._available_count, self._available_at = available, now
+        return measure_lateness(
+            now - self._started_at, now - self._available_at, self._drain_seconds
+        )
 
-    def _may_ask_origin(self, now: float) -> bool:
-        """Tell whether another fetch from the origin may start.
+    def _can_fetch_from_origin(self, now: float) -> bool:
+        """Return whether another fetch from the origin may start.
 
-        Not before the neighbours have said what they hold: an agent that joins would draw chunks
-        from the origin that all others have.
+        None starts before the neighbours have sent their bitmaps: an agent that joins would fetch
+        chunks from the origin that all others have.
         """
-        known = self._possessions.known.values()
-        heard = all(each.connected for each in known) or now - self._begun_at > HEAR_SECONDS
-        return heard and self._from_origin < ORIGIN_FETCHES and now >= self._origin_after
+        states = self._subscriptions.states.values()
+        neighbours_ready = (
+            all(each.connected for each in states) or now - self._started_at > BITMAP_WAIT_SECONDS
+        )
+        return (
+            neighbours_ready
+            and self._origin_fetches < MAX_ORIGIN_FETCHES
+            and now >= self._origin_retry_at
+        )
 
-    def _may_cross(self, chunk: int, duties: Duties, now: float) -> bool:
-        """Tell whether a chunk may be brought over from another region already.
+    def _can_cross_regions(self, chunk: int, assignments: Assignments, now: float) -> bool:
+        """Return whether a chunk may be fetched from another region now.
 
-        Each chunk has one region that takes it from the origin's; the others wait a moment to take
-        it from there. The origin's region alone would carry every chunk to each other region.
+        One region fetches the chunk from the origin's region, and the others wait to fetch it from
+        there. Otherwise the origin's region would send every chunk to each other region.
         """
-        if duties.is_first_region(chunk) or now - self._seen_at.get(chunk, now) > RELAY_SECONDS:
+        if (
+            assignments.is_first_region(chunk)
+            or now - self._available_since.get(chunk, now) > REGION_WAIT_SECONDS
+        ):
             return True
         return any(
-            each.held >> chunk & 1 and not each.neighbour.at_origin
-            for each in self._possessions.known.values()
+            each.bitmap >> chunk & 1 and not each.neighbour.at_origin
+            for each in self._subscriptions.states.values()
         )
 
-    def _may_repeat_origin(self, duties: Duties) -> bool:
-        """Tell whether the origin may be asked for a chunk that others hold already."""
-        share = (ORIGIN_COPIES - 1.0) / max(1, duties.count_at_origin())
-        most = share * len(self._holding.digests)
-        return self._own.at_origin and self._repeated + 1 <= most
-
-    def _measure_waits(self, missing: Sequence[int], now: float) -> dict[int, float]:
-        """Return for how long each missing chunk has been known to be held by somebody."""
-        held = 0
-        for each in self._possessions.known.values():
-            held |= each.held
+    def _can_repeat_from_origin(self, assignments: Assignments) -> bool:
+        """Return whether a chunk that neighbours already have may be fetched from the origin."""
+        share = (ORIGIN_COPIES - 1.0) / max(1, assignments.count_at_origin())
+        max_repeats = share * len(self._version_chunks.digests)
+        return self._own.at_origin and self._repeated_fetches + 1 <= max_repeats
+
+    def _measure_wait_seconds(self, missing: Sequence[int], now: float) -> dict[int, float]:
+        """Return the seconds for which each missing chunk has been available from a neighbour."""
+        available = 0
+        for each in self._subscriptions.states.values():
+            available |= each.bitmap
         for chunk in missing:
-            if held >> chunk & 1:
-                self._seen_at.setdefault(chunk, now)
-        return {chunk: now - at for chunk, at in self._seen_at.items()}
+            if available >> chunk & 1:
+                self._available_since.setdefault(chunk, now)
+        return {chunk: now - at for chunk, at in self._available_since.items()}
 
     async def _fetch(self, pick: Pick) -> None:
-        followed = self._possessions.known.get(pick.address or "")
+        state = self._subscriptions.states.get(pick.address or "")
         try:
             if pick.address is None:
                 await self._fetch_from_origin(pick.chunk)
-            elif followed is not None:
-                await self._fetch_from_neighbour(pick.chunk, followed)
+            elif state is not None:
+                await self._fetch_from_neighbour(pick.chunk, state)
         finally:
             self._in_flight.discard(pick.chunk)
             if pick.address is None:
-                self._from_origin -= 1
-            elif followed is not None:
-                followed.busy -= 1
+                self._origin_fetches -= 1
+            elif state is not None:
+                state.busy -= 1
             self._arrived.set()
             self._wake.set()
 
-    async def _fetch_from_neighbour(self, chunk: int, followed: Followed) -> None:
-        address = followed.neighbour.address
+    async def _fetch_from_neighbour(self, chunk: int, state: NeighbourState) -> None:
+        address = state.neighbour.address
         try:
             data = await fetch_chunk(
-                self._session, address, self._holding.name, chunk, self._urgency
+                self._session, address, self._version_chunks.name, chunk, self._urgency
             )
-            await self._keep(chunk, data, "near" if followed.neighbour.near else "far", address)
-            followed.failures = 0
+            await self._store(chunk, data, "near" if state.neighbour.near else "far", address)
+            state.failures = 0
         except IntegrityError as error:
-            self._note_spoilt(chunk, "agent", error)
-            followed.record_failure()
+            self._record_corrupt(chunk, "agent", error)
+            state.record_failure()
         except NeighbourBusyError:
-            followed.avoided_until = read_clock() + BUSY_SECONDS
+            state.avoided_until = read_clock() + BUSY_SECONDS
         except PlatformUnavailableError as error:
-            note(_LOG, "chunk not had", chunk=chunk, reason=str(error))
-            followed.record_failure()
+            note(_LOG, "chunk fetch failed", chunk=chunk, reason=str(error))
+            state.record_failure()
 
     async def _fetch_from_origin(self, chunk: int) -> None:
         try:
-            data = await self._origin.fetch_chunk(self._holding.name, chunk)
-            self._origin_heard_at = read_clock()
-            await self._keep(chunk, data, "origin", "origin")
+            data = await self._origin.fetch_chunk(self._version_chunks.name, chunk)
+            self._origin_received_at = read_clock()
+            await self._store(chunk, data, "origin", "origin")
         except IntegrityError as error:
-            self._note_spoilt(chunk, "origin", error)
+            self._record_corrupt(chunk, "origin", error)
         except PlatformUnavailableError as error:
-            note(_LOG, "chunk not had", chunk=chunk, reason=str(error))
-            self._origin_after = read_clock() + self._random.uniform(0.5, 1.5) * _ORIGIN_PAUSE
+            note(_LOG, "chunk fetch failed", chunk=chunk, reason=str(error))
+            self._origin_retry_at = (
+                read_clock() + self._random.uniform(0.5, 1.5) * _ORIGIN_RETRY_SECONDS
+            )
 
-    async def _keep(self, chunk: int, data: bytes, source: str, peer: str) -> None:
-        self._holding.add(chunk, data, peer)
+    async def _store(self, chunk: int, data: bytes, source: str, peer: str) -> None:
+        self._version_chunks.add(chunk, data, peer)
         self._received_at = read_clock()
         self._counts[source] += 1
         FETCHED.labels(source).inc(len(data))
-        if self._on_kept is not None:
-            await self._on_kept(chunk, data)
+        if self._on_stored is not None:
+            await self._on_stored(chunk, data)
 
-    def _note_spoilt(self, chunk: int, source: str, error: IntegrityError) -> None:
-        SPOILT.labels(source).inc()
-        self.spoilt[chunk] = self.spoilt.get(chunk, 0) + 1
-        warn(_LOG, "spoilt chunk", chunk=chunk, reason=str(error), times=self.spoilt[chunk])
+    def _record_corrupt(self, chunk: int, source: str, error: IntegrityError) -> None:
+        CORRUPT.labels(source).inc()
+        self.corrupt[chunk] = self.corrupt.get(chunk, 0) + 1
+        warn(_LOG, "corrupt chunk", chunk=chunk, reason=str(error), times=self.corrupt[chunk])
 
 
 async def _wait(event: asyncio.Event, seconds: float) -> None:
@@ -353,4 +369,4 @@
         async with asyncio.timeout(seconds):
             await event.wait()
     except TimeoutError:
-        pass  # time to look again
+        pass
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_upload_queue.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_upload_queue.py
@@ -1,4 +1,4 @@
-"""Whose chunk is sent next over this host's link."""
+"""Order of chunk uploads on this host's link."""
 
 import asyncio
 import heapq
@@ -6,38 +6,38 @@
 from contextlib import asynccontextmanager
 from itertools import count
 
-ALONE_SECONDS = 0.25
-"""How long a chunk has the link to itself: three times what it takes at the full rate. After that
-the receiver's link is the slower one, and the next chunk is sent beside it."""
+EXCLUSIVE_SECONDS = 0.25
+"""Time for which an upload has the link to itself: three times that of a chunk at the full rate. An
+upload that takes longer is limited by the receiver's link, so the next one starts beside it."""
 
 
-class UploadTurns:
-    """Lets one chunk go at a time, the urgent ones first.
+class UploadQueue:
+    """Priority queue that lets one upload at a time use the link, urgent ones first.
 
-    Sent side by side, two chunks are whole at the next agent, and can be passed on, in twice the
-    time, and a version that spreads by doubling in as much more. Those that are not urgent take
-    what the others leave: all engines would otherwise be whole within the same moment, and go on
-    to the version together, with none left for requests.
+    Two chunks sent at the same time each take twice as long until the receiver can pass them on,
+    which slows a version that spreads by doubling. Uploads that aren't urgent use spare capacity:
+    otherwise all engines would complete the version, and swap to it, at the same time, with none
+    left for requests.
     """
 
     def __init__(self) -> None:
         self._busy = False
-        self._order = count()
+        self._sequence = count()
         self._waiting: list[tuple[bool, int, asyncio.Future[None]]] = []
 
     @asynccontextmanager
-    async def take(self, *, urgent: bool) -> AsyncIterator[None]:
-        """Wait for a turn, which ends with the block or after a time."""
+    async def reserve(self, *, urgent: bool) -> AsyncIterator[None]:
+        """Wait for the link, and reserve it for the block or ``EXCLUSIVE_SECONDS``."""
         await self._acquire(urgent)
-        held = True
+        is_active = True
 
         def release() -> None:
-            nonlocal held
-            if held:
-                held = False
-                self._pass_on()
+            nonlocal is_active
+            if is_active:
+                is_active = False
+                self._wake_next()
 
-        timer = asyncio.get_running_loop().call_later(ALONE_SECONDS, release)
+        timer = asyncio.get_running_loop().call_later(EXCLUSIVE_SECONDS, release)
         try:
             yield
         finally:
@@ -48,19 +48,19 @@
         if not self._busy:
             self._busy = True
             return
-        turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, (not urgent, next(self._order), turn))
+        waiter = asyncio.get_running_loop().create_future()
+        heapq.heappush(self._waiting, (not urgent, next(self._sequence), waiter))
         try:
-            await turn
+            await waiter
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self._pass_on()  # it was this one's turn when its asker left
+            if waiter.done() and not waiter.cancelled():
+                self._wake_next()  # the link was granted to a request that is cancelled
             raise
 
-    def _pass_on(self) -> None:
+    def _wake_next(self) -> None:
         while self._waiting:
-            _, _, turn = heapq.heappop(self._waiting)
-            if not turn.done():
-                turn.set_result(None)
+            _, _, waiter = heapq.heappop(self._waiting)
+            if not waiter.done():
+                waiter.set_result(None)
                 return
         self._busy = False
--- a/packages/wrenloft-swarm/tests/test_neighbours.py
+++ b/packages/wrenloft-swarm/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Tests of which agents follow which."""
+"""Tests of the choice of neighbours and of the spread of digests."""
 
 from collections import Counter
 from random import Random
@@ -7,9 +7,9 @@
 import pytest
 
 from wrenloft_core import ModelName, PlatformUnavailableError
-from wrenloft_swarm import Holdings, LatestState, Means, Neighbour, Upkeep
+from wrenloft_swarm import ChunkStore, LatestState, Neighbour, Reconciler, ReconcilerContext
 from wrenloft_swarm._chunk_store import VersionName
-from wrenloft_swarm._neighbours import choose_followed
+from wrenloft_swarm._neighbours import choose_subscriptions
 from wrenloft_swarm._reconciler import _count_digest_rounds
 
 
@@ -23,58 +23,58 @@
     return Neighbour(address, own_region == region, region == "r0", region)
 
 
-class TestChooseFollowed:
-    """Tests for ``choose_followed``."""
+class TestChooseSubscriptions:
+    """Tests for ``choose_subscriptions``."""
 
     @pytest.mark.parametrize("each", [4, 28, 220])
     def test_connections_do_not_grow_with_the_fleet(self, each: int) -> None:
-        """Agents that all follow all spend their processor time on telling what they hold.
+        """With subscriptions to all others, agents spend their processor time on bitmaps.
 
-        At 119 agents each had 118 connections with ten messages a second, while weights moved.
+        At 119 agents each has 118 connections with ten messages a second while weights move.
         """
         fleet = _fleet(5, each)
-        followers: Counter[str] = Counter()
+        subscribers: Counter[str] = Counter()
         for address, region in fleet:
             own = _describe(region, address, region)
             others = [_describe(region, *other) for other in fleet if other[0] != address]
-            followed = choose_followed(own, others)
-            assert len(followed) <= 16 + 8 + 3 * 4
-            followers.update(found.address for found in followed)
-        assert max(followers.values()) <= 110
+            chosen = choose_subscriptions(own, others)
+            assert len(chosen) <= 16 + 8 + 3 * 4
+            subscribers.update(found.address for found in chosen)
+        assert max(subscribers.values()) <= 110
 
     def test_every_agent_is_reached(self) -> None:
-        """A chunk at any agent reaches all others by way of those that follow it."""
+        """A chunk at any agent reaches all others through the subscriptions within three hops."""
         fleet = _fleet(5, 28)
-        links: dict[str, list[str]] = {}
+        subscriptions: dict[str, list[str]] = {}
         for address, region in fleet:
             own = _describe(region, address, region)
             others = [_describe(region, *other) for other in fleet if other[0] != address]
-            links[address] = [found.address for found in choose_followed(own, others)]
+            subscriptions[address] = [found.address for found in choose_subscriptions(own, others)]
         reached = {fleet[0][0]}
         hops = 0
         while len(reached) < len(fleet):
             hops += 1
-            reached |= {own for own, followed in links.items() if reached & set(followed)}
+            reached |= {own for own, chosen in subscriptions.items() if reached & set(chosen)}
             assert hops <= 3
 
 
 class TestFindDigests:
-    """Tests of how a list of digests reaches many agents."""
+    """Tests of the spread of a list of digests to many agents."""
 
     @staticmethod
-    async def _spread(agents: int) -> tuple[int, Counter[str]]:
-        """Let agents look for the list round by round; return the rounds, and who was asked."""
+    async def _spread_digests(agents: int) -> tuple[int, Counter[str]]:
+        """Let agents request the list in rounds; return the rounds and the requests to each."""
         addresses = [f"10.0.0.{n}:1" for n in range(agents)]
-        asked: Counter[str] = Counter()
+        requests: Counter[str] = Counter()
         holders: set[str] = set()
 
-        def build(address: str) -> Upkeep:
+        def build(address: str) -> Reconciler:
             others = [Neighbour(each, near=True) for each in addresses if each != address]
-            means = Means(
+            context = ReconcilerContext(
                 engine=Mock(),
                 origin=Mock(),
                 session=Mock(),
-                holdings=Holdings(),
+                chunk_store=ChunkStore(),
                 latest=LatestState(),
                 neighbours=lambda: others,
                 own=Neighbour(address, near=True),
@@ -82,37 +82,39 @@
                 chunk_bytes=100,
                 random=Random(address),
             )
-            return Upkeep(ModelName("m"), means)
+            return Reconciler(ModelName("m"), context)
 
-        upkeeps = {address: build(address) for address in addresses}
-        holders |= {each for each, upkeep in upkeeps.items() if upkeep._is_feeder()}
+        reconcilers = {address: build(address) for address in addresses}
+        holders |= {
+            each for each, reconciler in reconcilers.items() if reconciler._is_origin_fetcher()
+        }
 
-        async def ask(_: object, address: str, __: object) -> tuple[str, ...]:
-            asked[address] += 1
+        async def fetch(_: object, address: str, __: object) -> tuple[str, ...]:
+            requests[address] += 1
             if address not in holders:
                 raise PlatformUnavailableError("none yet", step="fetch-digests")
             return ("d",)
 
         rounds = 0
-        with patch("wrenloft_swarm._reconciler.fetch_digests", ask):
+        with patch("wrenloft_swarm._reconciler.fetch_digests", fetch):
             while len(holders) < agents:
                 rounds += 1
-                seekers = [each for each in addresses if each not in holders]
+                requesters = [each for each in addresses if each not in holders]
                 found = [
                     each
-                    for each in seekers
-                    if await upkeeps[each]._ask_neighbours(VersionName(ModelName("m"), 2))
+                    for each in requesters
+                    if await reconcilers[each]._fetch_digests_nearby(VersionName(ModelName("m"), 2))
                 ]
                 holders |= set(found)
-        return rounds, asked
+        return rounds, requests
 
     @pytest.mark.parametrize("agents", [8, 36, 119])
-    async def test_no_feeder_is_asked_by_all_at_once(self, agents: int) -> None:
-        """A version is named, and every agent but four looks for its list of digests.
+    async def test_no_origin_fetcher_is_asked_by_all_at_once(self, agents: int) -> None:
+        """A version is set, and every agent but the four origin fetchers needs its digests.
 
-        Asked by all, the four would send it a hundred times over while the first chunks wait, and
-        those that had no answer would ask the origin, which takes few connections.
+        Asked by all, the four would send the list a hundred times while the first chunks wait, and
+        agents without an answer would ask the origin, which accepts few connections.
         """
-        rounds, asked = await self._spread(agents)
+        rounds, requests = await self._spread_digests(agents)
         assert rounds <= _count_digest_rounds(agents - 1)
-        assert max(asked.values()) <= agents / 2
+        assert max(requests.values()) <= agents / 2
--- a/packages/wrenloft-swarm/tests/test_swarm.py
+++ b/packages/wrenloft-swarm/tests/test_swarm.py
@@ -1,4 +1,4 @@
-"""Tests of weights on their way: what is kept, from whom it is fetched, what is loaded."""
+"""Tests of storing, fetching, serving and loading chunks of weights."""
 
 import asyncio
 import hashlib
@@ -14,19 +14,19 @@
 from wrenloft_core import IntegrityError, ModelName, Pacer, PlatformUnavailableError
 from wrenloft_policy import EVERY_LAYER, LayerSpan, list_span_chunks
 from wrenloft_swarm import (
+    ChunkStore,
     EngineState,
-    Holding,
-    Holdings,
     LatestState,
-    Means,
     Neighbour,
     OrderResult,
+    Reconciler,
+    ReconcilerContext,
     SwarmRoutes,
     SwarmTransfer,
-    Upkeep,
+    VersionChunks,
     VersionName,
 )
-from wrenloft_swarm._assignments import Duties
+from wrenloft_swarm._assignments import Assignments
 
 MODEL = ModelName("m")
 COUNT = 12
@@ -43,43 +43,47 @@
 
 @dataclass
 class FakeOrigin:
-    """An origin that counts what it sends and spoils or refuses on request."""
+    """An origin that records what it sends, and can corrupt its answers or be unavailable.
+
+    :param corrupt_chunks: chunks still to be sent corrupt.
+    :param wrong_digest_lists: lists of digests still to be sent with one wrong digest.
+    """
 
     sent: list[tuple[int, int]] = field(default_factory=list)
-    spoil: int = 0
-    wrong_lists: int = 0
-    down: bool = False
+    corrupt_chunks: int = 0
+    wrong_digest_lists: int = 0
+    is_unavailable: bool = False
 
     async def fetch_digests(self, name: VersionName) -> tuple[str, ...]:
-        if self.down:
+        if self.is_unavailable:
             raise PlatformUnavailableError("down", step="fetch-digests")
-        if self.wrong_lists > 0:
-            self.wrong_lists -= 1
+        if self.wrong_digest_lists > 0:
+            self.wrong_digest_lists -= 1
             return ("0" * 64, *_digests(name.number)[1:])
         return _digests(name.number)
 
     async def fetch_chunk(self, name: VersionName, chunk: int) -> bytes:
-        if self.down:
+        if self.is_unavailable:
             raise PlatformUnavailableError("down", step="fetch-from-origin")
         self.sent.append((name.number, chunk))
-        if self.spoil > 0:
-            self.spoil -= 1
+        if self.corrupt_chunks > 0:
+            self.corrupt_chunks -= 1
             return b"spoilt"
         return _chunks(name.number)[chunk]
 
 
 @dataclass
 class FakeEngine:
-    """An engine that loads what lies staged at the moment of the order.
+    """An engine that loads what is staged at the time of the order.
 
-    :param rot: chunks that turn bad as soon as they are staged for the first time.
-    :param draining: when set, an order takes effect once this event has come.
+    :param corrupt_on_stage: chunks that become corrupt when they are staged for the first time.
+    :param draining: an order takes effect once this event is set.
     """
 
     staged: dict[int, bytes] = field(default_factory=dict)
     version: int = 0
     loaded: list[tuple[int, bool]] = field(default_factory=list)
-    rot: set[int] = field(default_factory=set)
+    corrupt_on_stage: set[int] = field(default_factory=set)
     busy: int = 0
     spans: list[LayerSpan] = field(default_factory=list)
     span: LayerSpan | None = EVERY_LAYER
@@ -96,8 +100,8 @@
         return self.staged.get(chunk)
 
     async def stage(self, name: VersionName, chunk: int, data: bytes) -> None:
-        if chunk in self.rot:
-            self.rot.discard(chunk)
+        if chunk in self.corrupt_on_stage:
+            self.corrupt_on_stage.discard(chunk)
             data = b"rotten"
         self.staged[chunk] = data
 
@@ -106,8 +110,8 @@
             self.busy -= 1
             return OrderResult.BUSY
         wanted = list_span_chunks(span, LAYERS, COUNT)
-        sound = all(self.staged.get(each) == _chunks(name.number)[each] for each in wanted)
-        self.loaded.append((name.number, sound))
+        intact = all(self.staged.get(each) == _chunks(name.number)[each] for each in wanted)
+        self.loaded.append((name.number, intact))
         self.spans.append(span)
         if self.draining:
             await self.draining.wait()
@@ -118,17 +122,17 @@
 
 @dataclass
 class Peer:
-    """One agent's holdings, served on the loopback address."""
+    """One agent's chunk store, served on the loopback address."""
 
-    holdings: Holdings
+    chunk_store: ChunkStore
     neighbour: Neighbour
-    heard: list[tuple[str, int]]
+    received: list[tuple[str, int]]
     latest: LatestState = field(default_factory=LatestState)
 
 
 @pytest.fixture
 async def stack() -> AsyncIterator[AsyncExitStack]:
-    """Own everything that a test opens."""
+    """Close everything that a test opens."""
     async with AsyncExitStack() as stack:
         yield stack
 
@@ -139,28 +143,28 @@
     return await stack.enter_async_context(ClientSession())
 
 
-class HeldLink(Pacer):
-    """A link that carries nothing until it is set free."""
+class BlockedPacer(Pacer):
+    """A pacer that passes nothing until it is released."""
 
     def __init__(self) -> None:
         super().__init__(1e9)
-        self.free = asyncio.Event()
+        self.released = asyncio.Event()
 
-    async def carry(self, size: int) -> None:
-        await self.free.wait()
+    async def acquire(self, size: int) -> None:
+        await self.released.wait()
 
 
 async def _serve(stack: AsyncExitStack, *, near: bool = True, pacer: Pacer | None = None) -> Peer:
-    holdings = Holdings()
+    chunk_store = ChunkStore()
     latest = LatestState()
-    heard: list[tuple[str, int]] = []
+    received: list[tuple[str, int]] = []
     routes = SwarmRoutes(
-        holdings,
+        chunk_store,
         latest,
         lambda: False,
-        lambda model, number: heard.append((model, number)),
+        lambda model, number: received.append((model, number)),
         pacer or Pacer(1e9),
-        lambda address: heard.append((address, 0)),
+        lambda address: received.append((address, 0)),
     )
     app = web.Application()
     app.add_routes(routes.routes())
@@ -169,63 +173,68 @@
     stack.push_async_callback(runner.cleanup)
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     address = f"127.0.0.1:{runner.addresses[0][1]}"
-    return Peer(holdings, Neighbour(address, near), heard, latest)
+    return Peer(chunk_store, Neighbour(address, near), received, latest)
 
 
-def _fill(holding: Holding, chunks: range) -> None:
+def _fill(version_chunks: VersionChunks, chunks: range) -> None:
     for chunk in chunks:
-        holding.add(chunk, _chunks(holding.name.number)[chunk], "test")
+        version_chunks.add(chunk, _chunks(version_chunks.name.number)[chunk], "test")
 
 
 def _transfer(
     peer: Peer, others: list[Peer], session: ClientSession, origin: FakeOrigin, version: int = 1
 ) -> SwarmTransfer:
     name = VersionName(MODEL, version)
-    holding = peer.holdings.get(name) or peer.holdings.open(name, _digests(version))
+    version_chunks = peer.chunk_store.get(name) or peer.chunk_store.open(name, _digests(version))
     neighbours = [each.neighbour for each in others]
     return SwarmTransfer(
-        holding, session, origin, lambda: neighbours, peer.neighbour, Random(peer.neighbour.address)
+        version_chunks,
+        session,
+        origin,
+        lambda: neighbours,
+        peer.neighbour,
+        Random(peer.neighbour.address),
     )
 
 
-class TestHolding:
-    """Tests for ``Holding``."""
+class TestVersionChunks:
+    """Tests for ``VersionChunks`` and ``ChunkStore``."""
 
-    def test_refuses_spoilt_bytes(self) -> None:
-        """What does not fit its digest is never kept, so it is never passed on or loaded."""
-        holding = Holding(VersionName(MODEL, 1), _digests(1))
+    def test_rejects_corrupt_bytes(self) -> None:
+        """Bytes that don't match their digest are never stored, so never sent on or loaded."""
+        version_chunks = VersionChunks(VersionName(MODEL, 1), _digests(1))
         with pytest.raises(IntegrityError):
-            holding.add(0, _chunks(2)[0], "peer")
-        assert holding.get(0) is None
-        assert not holding.mask
+            version_chunks.add(0, _chunks(2)[0], "peer")
+        assert version_chunks.get(0) is None
+        assert not version_chunks.bitmap
 
     def test_drops_old_versions_only(self) -> None:
-        """The version in service and the ones about it stay."""
-        holdings = Holdings()
+        """The three newest versions stay."""
+        chunk_store = ChunkStore()
         for number in range(1, 6):
-            holdings.open(VersionName(MODEL, number), _digests(number))
-        kept = [n for n in range(1, 6) if holdings.get(VersionName(MODEL, n))]
+            chunk_store.open(VersionName(MODEL, number), _digests(number))
+        kept = [n for n in range(1, 6) if chunk_store.get(VersionName(MODEL, n))]
         assert kept == [3, 4, 5]
 
 
 class TestSwarmTransfer:
     """Tests for ``SwarmTransfer``."""
 
-    async def test_takes_what_neighbours_hold_without_the_origin(
+    async def test_fetches_from_neighbours_without_the_origin(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """A host that joins draws nothing from the origin while a neighbour has all."""
-        full, new = await _serve(stack), await _serve(stack)
-        _fill(full.holdings.open(VersionName(MODEL, 1), _digests(1)), range(COUNT))
+        """A host that joins fetches nothing from the origin while a neighbour has all chunks."""
+        complete, joining = await _serve(stack), await _serve(stack)
+        _fill(complete.chunk_store.open(VersionName(MODEL, 1), _digests(1)), range(COUNT))
         origin = FakeOrigin()
         async with asyncio.timeout(10):
-            await _transfer(new, [full], session, origin).run()
+            await _transfer(joining, [complete], session, origin).run()
         assert not origin.sent
 
-    async def test_swarm_draws_about_one_copy_from_the_origin(
+    async def test_swarm_fetches_about_one_copy_from_the_origin(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """Five hosts that start with nothing all become whole from little more than one copy."""
+        """Five hosts that start with no chunks take at most two copies in all from the origin."""
         peers = [await _serve(stack) for _ in range(5)]
         origin = FakeOrigin()
         transfers = [
@@ -236,38 +245,38 @@
             await asyncio.gather(*(each.run() for each in transfers))
         assert len(origin.sent) <= 2 * COUNT
 
-    async def test_spoilt_chunk_is_fetched_again(
+    async def test_corrupt_chunk_is_fetched_again(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """The origin's link spoils three chunks; the version still becomes whole and right."""
+        """Three chunks from the origin arrive corrupt; the version still becomes complete."""
         peer = await _serve(stack)
-        origin = FakeOrigin(spoil=3)
+        origin = FakeOrigin(corrupt_chunks=3)
         transfer = _transfer(peer, [], session, origin)
         async with asyncio.timeout(10):
             await transfer.run()
-        assert sum(transfer.spoilt.values()) == 3
+        assert sum(transfer.corrupt.values()) == 3
 
-    async def test_dead_neighbour_does_not_hold_up_its_turns(
+    async def test_chunks_of_a_dead_neighbour_are_reassigned(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """Chunks whose turn is a dead host's are fetched by another after a while."""
+        """Chunks assigned to a dead host are fetched by another one after a while."""
         peer = await _serve(stack)
-        dead = Peer(Holdings(), Neighbour("127.0.0.1:9", near=True), [])
+        dead = Peer(ChunkStore(), Neighbour("127.0.0.1:9", near=True), [])
         async with asyncio.timeout(20):
             await _transfer(peer, [dead], session, FakeOrigin()).run()
 
-    async def test_asking_tells_the_neighbour_of_a_version(
+    async def test_request_announces_the_version_to_the_neighbour(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """An agent that the store has not told yet hears of a version from whoever asks for it."""
+        """An agent that lags behind the store learns of a version from a neighbour's request."""
         peer, other = await _serve(stack), await _serve(stack)
         async with asyncio.timeout(20):
             await _transfer(peer, [other], session, FakeOrigin(), version=2).run()
-        assert (MODEL, 2) in other.heard
+        assert (MODEL, 2) in other.received
 
 
-class Rig:
-    """An upkeep with a fake engine and origin, and no neighbours unless some are given."""
+class Harness:
+    """A reconciler with a fake engine and origin, and with the given neighbours."""
 
     def __init__(
         self,
@@ -282,11 +291,11 @@
         self.engine = engine
         self.latest = LatestState()
         self.origin = FakeOrigin()
-        means = Means(
+        context = ReconcilerContext(
             engine=engine,
             origin=self.origin,
             session=session,
-            holdings=Holdings(),
+            chunk_store=ChunkStore(),
             latest=self.latest,
             neighbours=lambda: list(neighbours),
             own=Neighbour("127.0.0.1:1", near=True),
@@ -296,8 +305,8 @@
             layers=LAYERS,
             is_cold=lambda: self.cold,
         )
-        self.upkeep = Upkeep(MODEL, means)
-        for work in (self.upkeep.follow_engine(), self.upkeep.run()):
+        self.reconciler = Reconciler(MODEL, context)
+        for work in (self.reconciler.poll_engine(), self.reconciler.run()):
             stack.callback(asyncio.create_task(work).cancel)
 
     async def wait_for(self, version: int) -> None:
@@ -310,173 +319,181 @@
 class TestSwarmRoutes:
     """Tests for ``SwarmRoutes``."""
 
-    async def test_further_chunks_wait_and_the_rest_is_refused(
+    async def test_uploads_are_queued_up_to_a_limit(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """Ten neighbours ask at once for a chunk each.
+        """Ten neighbours request a chunk each at once; some are queued, the others refused.
 
-        Sent all at once each would be late; refused all but two, the link would rest between them.
-        Those not served first are refused before the others.
+        Sent all at once, every chunk would be late; with only two accepted, the link would be idle
+        between them. Requests that aren't urgent have the lower limit.
         """
-        link = HeldLink()
-        peer = await _serve(stack, pacer=link)
-        _fill(peer.holdings.open(VersionName(MODEL, 1), _digests(1)), range(COUNT))
+        pacer = BlockedPacer()
+        peer = await _serve(stack, pacer=pacer)
+        _fill(peer.chunk_store.open(VersionName(MODEL, 1), _digests(1)), range(COUNT))
 
-        async def ask(chunk: int, urgency: str) -> int:
+        async def request_chunk(chunk: int, urgency: str) -> int:
             url = f"http://{peer.neighbour.address}/chunks/{MODEL}/1/{chunk}?urgency={urgency}"
             async with session.get(url) as response:
                 await response.read()
                 return response.status
 
         for urgency, served in (("rest", 4), ("first", 6)):
-            link.free.clear()
-            tasks = {asyncio.create_task(ask(chunk, urgency)) for chunk in range(10)}
+            pacer.released.clear()
+            tasks = {asyncio.create_task(request_chunk(chunk, urgency)) for chunk in range(10)}
             refused: set[asyncio.Task[int]] = set()
             while len(refused) < 10 - served:
                 done, _ = await asyncio.wait(tasks - refused, return_when=asyncio.FIRST_COMPLETED)
                 refused |= done
-            link.free.set()
+            pacer.released.set()
             answers = await asyncio.gather(*tasks)
             assert {await each for each in refused} == {429}
             assert answers.count(200) == served
 
-    async def test_yielding_engine_is_reported_without_layers(
+    async def test_engine_with_pending_swap_is_reported_without_layers(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """Entry nodes stop sending to an engine that is about to go on to another version."""
+        """Entry nodes stop sending to an engine that is about to swap to another version."""
         peer = await _serve(stack)
         peer.latest.set(EngineState(1, 0, 1, False, 1.0, 0, LayerSpan(0, 4)))
-        peer.latest.set_yielding(True)
+        peer.latest.set_swap_pending(True)
         url = f"http://{peer.neighbour.address}/reports"
         async with asyncio.timeout(5), session.get(url) as response:
             report = json.loads(await response.content.readline())
         assert (report["version"], report["span"]) == (1, None)
 
 
-class TestDuties:
-    """Tests for ``Duties``."""
+class TestAssignments:
+    """Tests for ``Assignments``."""
 
-    def test_part_without_members_is_everybodys(self) -> None:
-        """A region with one host still fetches both parts."""
+    def test_part_without_members_is_assigned_to_all(self) -> None:
+        """A region with one host still fetches both parts of a version."""
         own = Neighbour("10.1.0.1:1", near=True)
-        duties = Duties(own, [Neighbour("10.2.0.1:1", near=False, at_origin=False)], 2, 12)
-        assert [duties.list_carriers(chunk) for chunk in (0, 11)] == [[own.address]] * 2
+        assignments = Assignments(
+            own, [Neighbour("10.2.0.1:1", near=False, at_origin=False)], 2, 12
+        )
+        assert [assignments.list_region_fetchers(chunk) for chunk in (0, 11)] == [[own.address]] * 2
 
-    def test_one_region_takes_each_chunk_first(self) -> None:
-        """The others take it from there, and not from the origin's region once more."""
+    def test_one_region_fetches_each_chunk_first(self) -> None:
+        """Other regions fetch a chunk from that one, and not from the origin's region again."""
         hosts = [
             Neighbour(f"10.{n}.0.1:1", near=False, at_origin=n == 1, region=f"r{n}")
             for n in (1, 2, 3)
         ]
         firsts = [
-            [Duties(own, [o for o in hosts if o is not own], 1, 12).is_first_region(chunk)]
+            [Assignments(own, [o for o in hosts if o is not own], 1, 12).is_first_region(chunk)]
             for own in hosts[1:]
             for chunk in (0, 1)
         ]
         assert firsts == [[True], [False], [False], [True]]
 
 
-class TestUpkeep:
-    """Tests for ``Upkeep``."""
+class TestReconciler:
+    """Tests for ``Reconciler``."""
 
     async def test_cold_engine_serves_its_part_before_it_has_the_rest(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """All hosts lost power; callers are refused until some engines hold all layers together.
+        """After a power loss callers are refused until engines serve all layers in a chain.
 
-        The engine loads its half as soon as it has that, and the rest beside the work.
+        The engine loads its half as soon as that is stored, and the rest while it serves.
         """
         others = [Neighbour("127.0.0.1:9", near=True)]
-        rig = Rig(stack, session, FakeEngine(), others, cold=True)
+        harness = Harness(stack, session, FakeEngine(), others, cold=True)
         async with asyncio.timeout(20):
-            while len(rig.engine.spans) < 2:
+            while len(harness.engine.spans) < 2:
                 await asyncio.sleep(0.02)
-        assert rig.engine.spans == [LayerSpan(0, 2), LayerSpan(0, LAYERS)]
-        assert rig.engine.loaded == [(1, True), (1, True)]
+        assert harness.engine.spans == [LayerSpan(0, 2), LayerSpan(0, LAYERS)]
+        assert harness.engine.loaded == [(1, True), (1, True)]
 
     async def test_part_is_loaded_though_others_were_faster(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """After a loss of power the engines with the other half are a second faster.
+        """After a power loss the engines with the other half load it a second earlier.
 
-        They count as serving, so the fleet is no longer without weights; but they serve nobody
-        until this engine has loaded its half.
+        They count as serving, so the fleet is no longer cold; but no request can be served until
+        this engine has loaded its half.
         """
-        rig = Rig(stack, session, FakeEngine(), [Neighbour("127.0.0.1:9", near=True)], cold=True)
+        harness = Harness(
+            stack, session, FakeEngine(), [Neighbour("127.0.0.1:9", near=True)], cold=True
+        )
         async with asyncio.timeout(20):
-            while rig.upkeep._plan.parts == 1:
+            while harness.reconciler._plan.parts == 1:
                 await asyncio.sleep(0.01)
-            rig.cold = False
-            while not rig.engine.spans:
+            harness.cold = False
+            while not harness.engine.spans:
                 await asyncio.sleep(0.02)
-        assert rig.engine.spans[0] == LayerSpan(0, 2)
+        assert harness.engine.spans[0] == LayerSpan(0, 2)
 
     async def test_stalled_fetch_keeps_no_requests_away(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """The origin goes away when the last chunks of a version are still missing.
+        """The origin becomes unavailable while the last chunks of a version are missing.
 
-        Kept idle until it is back, all engines would refuse what they can serve on the version
-        before.
+        With requests kept away until it is back, all engines would stand idle that could serve
+        their current version.
         """
-        rig = Rig(stack, session, FakeEngine(version=1))
+        harness = Harness(stack, session, FakeEngine(version=1))
         async with asyncio.timeout(5):
-            while rig.latest.state is None:
+            while harness.latest.state is None:
                 await asyncio.sleep(0.02)
-        rig.origin.down = True
-        holding = rig.upkeep._means.holdings.open(VersionName(MODEL, 2), _digests(2))
-        _fill(holding, range(COUNT - 1))
-        rig.upkeep.name_version(2)
+        harness.origin.is_unavailable = True
+        version_chunks = harness.reconciler._context.chunk_store.open(
+            VersionName(MODEL, 2), _digests(2)
+        )
+        _fill(version_chunks, range(COUNT - 1))
+        harness.reconciler.set_target_version(2)
         await asyncio.sleep(1.0)
-        assert not rig.latest.yielding
+        assert not harness.latest.swap_pending
 
     async def test_engine_that_joins_others_waits_for_the_whole_version(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """While others serve, a chain with the new engine would only slow them down."""
+        """While other engines serve, chains with the new one would only reduce their capacity."""
         others = [Neighbour("127.0.0.1:9", near=True)]
-        rig = Rig(stack, session, FakeEngine(), others)
-        await rig.wait_for(1)
-        assert rig.engine.spans == [LayerSpan(0, LAYERS)]
+        harness = Harness(stack, session, FakeEngine(), others)
+        await harness.wait_for(1)
+        assert harness.engine.spans == [LayerSpan(0, LAYERS)]
 
     async def test_next_version_is_fetched_while_the_engine_still_loads(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """A third version is named while streams keep the engine from going on to the second.
+        """A third version is set while streams delay the engine's swap to the second.
 
-        Fetched only after that, the third would miss its deadline by as much. What lies staged
-        for the second must stay until the engine has taken it.
+        Fetched only after the swap, the third would miss its deadline by the same delay. The chunks
+        staged for the second must stay until the engine has loaded them.
         """
         engine = FakeEngine(version=1, draining=asyncio.Event())
-        rig = Rig(stack, session, engine)
-        rig.upkeep.name_version(2)
+        harness = Harness(stack, session, engine)
+        harness.reconciler.set_target_version(2)
         async with asyncio.timeout(10):
             while not engine.loaded:
                 await asyncio.sleep(0.02)
-            rig.upkeep.name_version(3)
-            holdings = rig.upkeep._means.holdings
+            harness.reconciler.set_target_version(3)
+            chunk_store = harness.reconciler._context.chunk_store
             third = VersionName(MODEL, 3)
-            while (held := holdings.get(third)) is None or held.missing():
+            while (
+                version_chunks := chunk_store.get(third)
+            ) is None or version_chunks.list_missing():
                 await asyncio.sleep(0.02)
         assert engine.version == 1
         engine.draining.set()
-        await rig.wait_for(3)
+        await harness.wait_for(3)
         assert engine.loaded == [(2, True), (3, True)]
 
-    async def test_next_versions_chunk_takes_no_checked_ones_place(
+    async def test_next_versions_chunk_overwrites_no_verified_one(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """A chunk of the next version arrives between the check of a part and its order.
+        """A chunk of the next version arrives between the verification of a part and its order.
 
-        The engine loads what lies staged at the order and checks nothing: written then, the chunk
-        would be loaded into the version before.
+        The engine loads what is staged at the order without checks: a chunk staged at that point
+        would be loaded into the wrong version.
         """
         engine = FakeEngine()
-        rig = Rig(stack, session, engine, [Neighbour("127.0.0.1:9", near=True)], cold=True)
+        harness = Harness(stack, session, engine, [Neighbour("127.0.0.1:9", near=True)], cold=True)
         order = engine.order
 
         async def order_late(name: VersionName, span: LayerSpan) -> OrderResult:
-            await rig.upkeep._stage_early(VersionName(MODEL, 2), 0, _chunks(2)[0])
+            await harness.reconciler._stage_on_arrival(VersionName(MODEL, 2), 0, _chunks(2)[0])
             return await order(name, span)
 
         engine.order = order_late  # type: ignore[method-assign]
@@ -485,169 +502,176 @@
                 await asyncio.sleep(0.02)
         assert engine.loaded[0] == (1, True)
 
-    async def test_requests_are_kept_away_before_the_engine_goes_on(
+    async def test_requests_are_kept_away_before_a_swap(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """Sent to an engine that waits for its last stream, requests would only be refused."""
+        """An engine that waits for its last stream before a swap would refuse new requests."""
         engine = FakeEngine(version=1, draining=asyncio.Event())
-        rig = Rig(stack, session, engine)
-        rig.upkeep.name_version(2)
+        harness = Harness(stack, session, engine)
+        harness.reconciler.set_target_version(2)
         async with asyncio.timeout(10):
             while not engine.loaded:
                 await asyncio.sleep(0.02)
-        assert rig.latest.yielding
+        assert harness.latest.swap_pending
         engine.draining.set()
         async with asyncio.timeout(10):
-            while rig.latest.yielding:
+            while harness.latest.swap_pending:
                 await asyncio.sleep(0.02)
         assert engine.version == 2
 
     async def test_requests_are_kept_away_while_the_version_after_is_fetched(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """Two versions are named within seconds; the first is held and about to be loaded.
+        """Two versions are set within seconds; the first is stored and about to be loaded.
 
-        Judged by the one that is fetched meanwhile, the engine looked far from any load: requests
-        were sent to it until its order, and rejected (24 within a second at ten engines).
+        If only the version being fetched is considered, no swap seems near: requests are sent to
+        the engine until its order and rejected, 24 within a second at ten engines.
         """
-        rig = Rig(stack, session, FakeEngine(version=1))
-        rig.origin.down = True
-        upkeep = rig.upkeep
-        upkeep.name_version(2)
-        upkeep.name_version(3)
-        holdings = upkeep._means.holdings
-        _fill(holdings.open(VersionName(MODEL, 2), _digests(2)), range(COUNT))
-        holdings.open(VersionName(MODEL, 3), _digests(3))
-        upkeep._current = upkeep._newest
-        assert upkeep._is_about_to_load(EngineState(0, 0, 1, False, 1.0, 0, LayerSpan(0, LAYERS)))
+        harness = Harness(stack, session, FakeEngine(version=1))
+        harness.origin.is_unavailable = True
+        reconciler = harness.reconciler
+        reconciler.set_target_version(2)
+        reconciler.set_target_version(3)
+        chunk_store = reconciler._context.chunk_store
+        _fill(chunk_store.open(VersionName(MODEL, 2), _digests(2)), range(COUNT))
+        chunk_store.open(VersionName(MODEL, 3), _digests(3))
+        reconciler._current = reconciler._newest
+        assert reconciler._is_swap_pending(
+            EngineState(0, 0, 1, False, 1.0, 0, LayerSpan(0, LAYERS))
+        )
 
     async def test_empty_engine_gets_the_first_version(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """An engine that was added serves without anybody's order."""
-        rig = Rig(stack, session, FakeEngine())
-        await rig.wait_for(1)
-        assert rig.engine.loaded == [(1, True)]
+        """A new engine loads the first version without an operator's action."""
+        harness = Harness(stack, session, FakeEngine())
+        await harness.wait_for(1)
+        assert harness.engine.loaded == [(1, True)]
 
-    async def test_named_version_is_loaded_whole(
+    async def test_target_version_is_loaded_completely(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """A version that operators name is in service, every chunk of it right."""
-        rig = Rig(stack, session, FakeEngine(version=1))
-        rig.upkeep.name_version(2)
-        await rig.wait_for(2)
-        assert rig.engine.loaded == [(2, True)]
-        assert rig.engine.spans == [LayerSpan(0, LAYERS)]
-
-    async def test_rotten_staged_chunks_are_replaced_before_the_order(
+        """The version that operators set is loaded with every chunk intact."""
+        harness = Harness(stack, session, FakeEngine(version=1))
+        harness.reconciler.set_target_version(2)
+        await harness.wait_for(2)
+        assert harness.engine.loaded == [(2, True)]
+        assert harness.engine.spans == [LayerSpan(0, LAYERS)]
+
+    async def test_corrupt_staged_chunks_are_replaced_before_the_order(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """Two staged chunks turn bad; the engine never loads them.
+        """Two staged chunks become corrupt, and are replaced before the engine loads them.
 
-        The engine takes whatever lies staged when it is ordered, and checks nothing.
+        The engine loads whatever is staged at the order, without checks.
         """
-        rig = Rig(stack, session, FakeEngine(version=1, rot={3, 7}))
-        rig.upkeep.name_version(2)
-        await rig.wait_for(2)
-        assert rig.engine.loaded == [(2, True)]
+        harness = Harness(stack, session, FakeEngine(version=1, corrupt_on_stage={3, 7}))
+        harness.reconciler.set_target_version(2)
+        await harness.wait_for(2)
+        assert harness.engine.loaded == [(2, True)]
 
     async def test_restarted_engine_is_loaded_again(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """An engine that lost its weights gets them back from this agent, not from the origin."""
-        rig = Rig(stack, session, FakeEngine())
-        await rig.wait_for(1)
-        drawn = len(rig.origin.sent)
-        rig.engine.version = 0
-        rig.engine.staged.clear()
-        await rig.wait_for(1)
-        assert rig.engine.loaded == [(1, True), (1, True)]
-        assert len(rig.origin.sent) == drawn
+        """An engine that lost its weights loads them again from this agent, not from the origin."""
+        harness = Harness(stack, session, FakeEngine())
+        await harness.wait_for(1)
+        fetched = len(harness.origin.sent)
+        harness.engine.version = 0
+        harness.engine.staged.clear()
+        await harness.wait_for(1)
+        assert harness.engine.loaded == [(1, True), (1, True)]
+        assert len(harness.origin.sent) == fetched
 
     async def test_busy_engine_is_ordered_again(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """An order that met a busy engine is not taken for one that was accepted."""
-        rig = Rig(stack, session, FakeEngine(busy=2))
-        await rig.wait_for(1)
+        """An order that a busy engine turned down is repeated, not taken as accepted."""
+        harness = Harness(stack, session, FakeEngine(busy=2))
+        await harness.wait_for(1)
 
     async def test_wrong_list_of_digests_is_replaced(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """One digest was spoilt on its way, so its chunk never fits; the list is asked for anew."""
-        rig = Rig(stack, session, FakeEngine())
-        rig.origin.wrong_lists = 1
-        await rig.wait_for(1)
-        assert rig.engine.loaded == [(1, True)]
+        """A digest corrupted in transit matches no chunk, so the list is fetched again."""
+        harness = Harness(stack, session, FakeEngine())
+        harness.origin.wrong_digest_lists = 1
+        await harness.wait_for(1)
+        assert harness.engine.loaded == [(1, True)]
 
-    async def test_staged_chunks_are_taken_at_the_start(
+    async def test_staged_chunks_are_recovered_at_the_start(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """What lies staged beside the engine is held, but not what rotted there."""
+        """Chunks staged at the engine are stored, except those that became corrupt."""
         staged = dict(enumerate(_chunks(1)))
         staged[4] = b"rotten"
-        rig = Rig(stack, session, FakeEngine(staged=staged, version=1))
-        holdings = rig.upkeep._means.holdings
+        harness = Harness(stack, session, FakeEngine(staged=staged, version=1))
+        chunk_store = harness.reconciler._context.chunk_store
         async with asyncio.timeout(5):
-            while (held := holdings.get(VersionName(MODEL, 1))) is None or held.held < COUNT - 1:
+            while (
+                version_chunks := chunk_store.get(VersionName(MODEL, 1))
+            ) is None or version_chunks.stored_count < COUNT - 1:
                 await asyncio.sleep(0.02)
-        assert held.missing() == [4]
-        assert not rig.origin.sent
+        assert version_chunks.list_missing() == [4]
+        assert not harness.origin.sent
 
-    async def test_staged_chunks_are_taken_once_the_origin_has_started(
+    async def test_staged_chunks_are_recovered_once_the_origin_has_started(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """An agent starts before the origin, whose digests tell sound chunks from rotten ones.
+        """An agent starts before the origin, whose digests are needed to verify staged chunks.
 
-        Given up then, its neighbours could never fetch from it, and an engine that joins would
-        draw from the origin what lies beside every engine.
+        Without a retry its neighbours could never fetch them from it, and an engine that joins
+        would fetch from the origin what is staged at every engine.
         """
         engine = FakeEngine(staged=dict(enumerate(_chunks(1))), version=1)
-        rig = Rig(stack, session, engine)
-        rig.origin.down = True
+        harness = Harness(stack, session, engine)
+        harness.origin.is_unavailable = True
         await asyncio.sleep(0.6)
-        rig.origin.down = False
-        holdings = rig.upkeep._means.holdings
+        harness.origin.is_unavailable = False
+        chunk_store = harness.reconciler._context.chunk_store
         async with asyncio.timeout(10):
-            while (held := holdings.get(VersionName(MODEL, 1))) is None or held.missing():
+            while (
+                version_chunks := chunk_store.get(VersionName(MODEL, 1))
+            ) is None or version_chunks.list_missing():
                 await asyncio.sleep(0.02)
-        assert not rig.origin.sent
+        assert not harness.origin.sent
 
-    async def test_version_is_fetched_while_nobody_has_the_digests_of_what_lies_staged(
+    async def test_version_is_fetched_while_digests_of_staged_chunks_are_missing(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """All hosts lost power; beside the engine lies the version before the one that is wanted.
+        """After a power loss, the version before the target is staged, and its digests are lost.
 
-        Nobody has its digests any more, and asking for them takes seconds. Callers waited for
-        each of those seconds, as the agent began to fetch only when it had given them up.
+        Requests for them take seconds to fail. If the fetch of the target waited for that, callers
+        would wait as long.
         """
         engine = FakeEngine(staged=dict(enumerate(_chunks(1))))
-        rig = Rig(stack, session, engine)
-        fetch = rig.origin.fetch_digests
+        harness = Harness(stack, session, engine)
+        fetch = harness.origin.fetch_digests
 
         async def fetch_slowly(name: VersionName) -> tuple[str, ...]:
             if name.number == 1:
                 await asyncio.Event().wait()
             return await fetch(name)
 
-        rig.origin.fetch_digests = fetch_slowly  # type: ignore[method-assign]
-        rig.upkeep.name_version(2)
-        await rig.wait_for(2)
+        harness.origin.fetch_digests = fetch_slowly  # type: ignore[method-assign]
+        harness.reconciler.set_target_version(2)
+        await harness.wait_for(2)
         assert engine.loaded == [(2, True)]
 
-    async def test_killed_agent_goes_on_where_it_was(
+    async def test_killed_agent_resumes_the_fetch(
         self, stack: AsyncExitStack, session: ClientSession
     ) -> None:
-        """All agents are killed while a version is on its way; most of it lies staged.
+        """All agents are killed during a fetch, with most of the version staged.
 
-        Fetched from the beginning, it came eight seconds later, and the version before it was
-        refused by then: callers found no engine. What is another version's does not fit.
+        Fetched from the beginning, it would be complete eight seconds later, when requests for the
+        version before are already refused and callers find no engine. Staged chunks of another
+        version don't match.
         """
         staged = dict(enumerate(_chunks(2)))
         staged[3] = _chunks(1)[3]
         engine = FakeEngine(staged=staged, version=1)
-        rig = Rig(stack, session, engine)
-        rig.upkeep.name_version(2)
-        await rig.wait_for(2)
+        harness = Harness(stack, session, engine)
+        harness.reconciler.set_target_version(2)
+        await harness.wait_for(2)
         assert engine.loaded == [(2, True)]
-        assert [each for each in rig.origin.sent if each[0] == 2] == [(2, 3)]
+        assert [each for each in harness.origin.sent if each[0] == 2] == [(2, 3)]
