--- a/packages/wrenloft-agent/src/wrenloft_agent/_models.py
+++ b/packages/wrenloft-agent/src/wrenloft_agent/_models.py
@@ -16,7 +16,7 @@
     ShardNumber,
     VersionDigest,
     WrenloftError,
-    decide,
+    log_decision,
 )
 from wrenloft_policy import Permit
 
@@ -178,7 +178,7 @@
         self._tasks[target.model] = asyncio.create_task(
             self._pursue(target.model, target.version, transfer, before)
         )
-        decide(
+        log_decision(
             target.model,
             chosen=target.version or "none",
             reason="ordered by the shard's owner",
@@ -249,7 +249,7 @@
             except WrenloftError:
                 self.serving = dict((await self._engine.read_state()).serving)
                 raise
-        decide(model, chosen=version, reason="whole and verified; engine switched")
+        log_decision(model, chosen=version, reason="whole and verified; engine switched")
         self._notify()
 
     async def _free_others(self, model: ModelName, version: VersionDigest) -> None:
--- a/packages/wrenloft-core/src/wrenloft_core/__init__.py
+++ b/packages/wrenloft-core/src/wrenloft_core/__init__.py
@@ -48,7 +48,7 @@
     name_request,
     pick_shard,
 )
-from wrenloft_core._logs import BoundedHandler, decide, note, set_up_logs, warn
+from wrenloft_core._logs import BoundedHandler, log_decision, note, set_up_logs, warn
 from wrenloft_core._outcomes import Done, NotRun, Outcome, Priority, Unknown
 from wrenloft_core._pacing import Pacer
 from wrenloft_core._secrets import hash_key, matches_digest, matches_secret
@@ -99,11 +99,11 @@
     "WrenloftError",
     "build_manifest",
     "check_configuration",
-    "decide",
     "digest_bytes",
     "hash_key",
     "join_sections",
     "log_counts",
+    "log_decision",
     "make_request_id",
     "matches_digest",
     "matches_secret",
--- a/packages/wrenloft-core/src/wrenloft_core/_logs.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line per event on standard output, bounded, written without blocking."""
+"""Logs: one line an event on standard output, rate-limited and written without blocking."""
 
 import atexit
 import json
@@ -14,18 +14,18 @@
 _DECISIONS = logging.getLogger("wrenloft.decisions")
 
 LINES_PER_SECOND = 400
-"""Lines a second kept at most; a node at its usual 15 requests a second writes about 40."""
+"""Highest number of lines a second; a node at 15 requests a second writes about 40."""
 
-_BACKLOG_LINES = 4000
-"""Lines held for a reader that is slow: ten seconds at the full rate, about 1 MB."""
+_MAX_QUEUED_LINES = 4000
+"""Lines queued for a slow reader: ten seconds at the full rate, about 1 MB."""
 
-FLUSH_LIMIT_SECONDS = 1.0
-"""Longest wait for the reader at the end: two pauses of the writer, and time to read 1 MB."""
+FLUSH_TIMEOUT_SECONDS = 1.0
+"""Longest wait for the reader at exit: two intervals of the writer, and time to read 1 MB."""
 
 _FLUSH_POLL_SECONDS = 0.01
 
-_FLUSH_SECONDS = 0.25
-"""Pause between two writes; one write for many lines costs a tenth of one write a line."""
+_WRITE_INTERVAL_SECONDS = 0.25
+"""Interval of writes; one write for many lines costs a tenth of a write for each line."""
 
 
 class _JsonFormatter(logging.Formatter):
@@ -49,23 +49,23 @@
 
     def format(self, record: logging.LogRecord) -> str:
         fields = getattr(record, "fields", {})
-        tail = "".join(f" {name}={value}" for name, value in fields.items())
-        return super().format(record) + tail
+        suffix = "".join(f" {name}={value}" for name, value in fields.items())
+        return super().format(record) + suffix
 
 
 class BoundedHandler(logging.Handler):
-    """Hands lines to a thread of its own, and drops what exceeds the bounds.
+    """Passes lines to a writer thread, and drops lines beyond a rate and a queue length.
 
-    A reader that stops reading blocks only that thread: the event loop never writes. A flood of
-    lines costs no more than ``lines_per_second``; warnings may use twice that, so that the cause
-    of the flood is not among the lines that are dropped. Each second with drops says how many.
+    A reader that stops reading blocks only the writer thread, as the event loop never writes. At
+    most ``lines_per_second`` lines are accepted; warnings may use twice that, so that the cause of
+    a flood isn't among the dropped lines. The number of dropped lines is logged each second.
     """
 
     def __init__(
         self, write: Callable[[bytes], object], lines_per_second: int = LINES_PER_SECOND
     ) -> None:
         super().__init__()
-        self._write_bytes = write
+        self._write_output = write
         self._rate = lines_per_second
         self._lines: deque[str] = deque()
         self._second = 0
@@ -77,26 +77,26 @@
         threading.Thread(target=self._write, name="logs", daemon=True).start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line, or count it as dropped."""
+        """Queue a line, or count it as dropped."""
         second = int(time.monotonic())
         if second != self._second:
             self._second, self._count = second, 0
             self._report_drops()
         allowed = self._rate * (2 if record.levelno >= logging.WARNING else 1)
-        if self._count >= allowed or len(self._lines) >= _BACKLOG_LINES:
+        if self._count >= allowed or len(self._lines) >= _MAX_QUEUED_LINES:
             self._dropped += 1
             self.dropped += 1
             return
         self._count += 1
-        self._keep(record)
+        self._enqueue(record)
 
     def flush(self) -> None:
-        """Wait until what is held is written, but not for a reader that has stopped.
+        """Wait until queued lines are written, for ``FLUSH_TIMEOUT_SECONDS`` at most.
 
-        Waiting for it at the end of the program kept the process from ending for ever.
+        Without the timeout, a reader that has stopped would keep the process from ever exiting.
         """
         self._wake.set()
-        deadline = time.monotonic() + FLUSH_LIMIT_SECONDS
+        deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
         while (self._lines or self._writing) and time.monotonic() < deadline:
             time.sleep(_FLUSH_POLL_SECONDS)
 
@@ -104,10 +104,10 @@
         self._writing = True
         lines = [self._lines.popleft() for _ in range(len(self._lines))]
         if lines:
-            self._write_bytes(("\n".join(lines) + "\n").encode())
+            self._write_output(("\n".join(lines) + "\n").encode())
         self._writing = False
 
-    def _keep(self, record: logging.LogRecord) -> None:
+    def _enqueue(self, record: logging.LogRecord) -> None:
         self._lines.append(self.format(record))
         self._wake.set()
 
@@ -119,23 +119,23 @@
             {"name": __name__, "msg": "log lines dropped", "levelname": "WARNING"}
         )
         record.fields = {"dropped": dropped}
-        self._keep(record)
+        self._enqueue(record)
 
     def _write(self) -> None:
         while True:
             self._wake.wait()
-            time.sleep(_FLUSH_SECONDS)
+            time.sleep(_WRITE_INTERVAL_SECONDS)
             self._wake.clear()
             try:
                 self._write_lines()
             except (OSError, ValueError):
-                return  # the reader is gone, and there is nowhere left to say so
+                return  # the reader has closed the output, so the error can't be logged
 
 
 def _write_to_output(data: bytes) -> None:
-    """Write to standard output past Python's own buffer.
+    """Write to standard output without Python's buffer.
 
-    A thread that is stuck in that buffer holds its lock, which the interpreter wants at its end.
+    A thread blocked in the buffer would hold its lock, which the interpreter acquires at exit.
     """
     view = memoryview(data)
     while view:
@@ -161,12 +161,12 @@
     return handler
 
 
-def decide(subject: str, *, chosen: object, reason: str, **fields: object) -> None:
+def log_decision(subject: str, *, chosen: object, reason: str, **fields: object) -> None:
     """Log one routing or placement decision.
 
-    :param subject: the request or model that it was made for.
+    :param subject: the request or model that the decision is for.
     :param chosen: what was chosen.
-    :param fields: what it was chosen from, and whatever else led to it.
+    :param fields: the candidates and other inputs of the decision.
     """
     if _DECISIONS.isEnabledFor(logging.INFO):
         _DECISIONS.info(
--- a/packages/wrenloft-core/tests/test_logs.py
+++ b/packages/wrenloft-core/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of logs that are bounded and never block."""
+"""Tests of rate-limited, non-blocking logs."""
 
 import json
 import logging
@@ -21,10 +21,10 @@
 class TestBoundedHandler:
     """Tests for ``BoundedHandler``."""
 
-    def test_reader_that_stopped_blocks_nobody(self) -> None:
-        """The program goes on and its lines are kept, up to a bound.
+    def test_stopped_reader_does_not_block_the_program(self) -> None:
+        """The program continues and its lines are queued up to a limit.
 
-        The thread that writes is stuck in its first write all the while.
+        The writer thread is blocked in its first write for the whole test.
         """
         release = threading.Event()
         handler = BoundedHandler(lambda _: release.wait(), lines_per_second=100000)
@@ -37,11 +37,11 @@
         handler.flush()
         release.set()
 
-    def test_program_ends_though_nobody_reads(self) -> None:
-        """A process whose output is a full pipe ends all the same.
+    def test_program_exits_without_a_reader(self) -> None:
+        """A process whose output is a full pipe still exits.
 
-        The pipe holds 64 KB; the program logs more and returns. Waiting for the reader, it would
-        stay for ever, and so would whoever waits for it.
+        The program logs more than the 64 KB that fit into the pipe, and returns. If it waited for
+        the reader, neither it nor its parent process would ever exit.
         """
         program = (
             "import logging\n"
@@ -56,8 +56,8 @@
             process.kill()
             process.communicate()
 
-    def test_flood_is_cut_and_counted(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A flood costs no more than its bound, and the log says how much is missing."""
+    def test_excess_lines_are_dropped_and_counted(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """Lines beyond the rate limit are dropped, and their number is logged."""
         now = [100.0]
         monkeypatch.setattr("wrenloft_core._logs.time.monotonic", lambda: now[0])
         written: list[bytes] = []
@@ -77,7 +77,7 @@
     def test_lines_are_json_with_their_fields(
         self, capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Each line can be read by a program, whatever its fields hold."""
+        """Each line is valid JSON, whatever the types of its fields."""
         monkeypatch.setattr("wrenloft_core._logs.sys.stdout", sys.__stdout__)
         handler = set_up_logs(as_json=True, level="info")
         try:
--- a/packages/wrenloft/src/wrenloft/agents/_planner.py
+++ b/packages/wrenloft/src/wrenloft/agents/_planner.py
@@ -22,7 +22,7 @@
     RegionName,
     VersionDigest,
     WrenloftError,
-    decide,
+    log_decision,
     name_model,
     pick_shard,
 )
@@ -162,7 +162,7 @@
         placed = choose_hosts(name, model.hosts, model.replicas, hosts)
         if (chosen := frozenset(each.agent_id for each in placed)) != plan.placed:
             plan.placed = chosen
-            decide(
+            log_decision(
                 name,
                 chosen=sorted(chosen),
                 reason="; ".join(f"{each.agent_id}: {each.reason}" for each in placed),
--- a/packages/wrenloft/src/wrenloft/callers/_router.py
+++ b/packages/wrenloft/src/wrenloft/callers/_router.py
@@ -21,7 +21,7 @@
     PlaceName,
     Priority,
     RegionName,
-    decide,
+    log_decision,
 )
 from wrenloft_policy import (
     Candidate,
@@ -244,7 +244,7 @@
         chosen = self._choose(candidates, self._place, self._region, self._random)
         if chosen is None:
             return None
-        decide(
+        log_decision(
             request.request_id,
             chosen=chosen.agent_id,
             reason=chosen.reason,
--- a/packages/wrenloft/src/wrenloft/platform/_shards.py
+++ b/packages/wrenloft/src/wrenloft/platform/_shards.py
@@ -9,7 +9,7 @@
 from wrenloft.platform._keys import name_node, name_shard
 from wrenloft.platform._keyvalue import Absent, Condition, KeyValueClient, Put, Unchanged
 from wrenloft.platform._membership import Membership, ShardRecord
-from wrenloft_core import NodeId, PlatformUnavailableError, ShardNumber, decide
+from wrenloft_core import NodeId, PlatformUnavailableError, ShardNumber, log_decision
 from wrenloft_policy import choose_owner
 
 _LOG = logging.getLogger(__name__)
@@ -170,7 +170,7 @@
             _LOG.warning("shard %d not claimed yet: %s", number, error)
             return
         self._owned[number] = owned
-        decide(
+        log_decision(
             f"shard {number}",
             chosen=self._membership.node_id,
             reason="first by rendezvous hash, and free",
