--- a/packages/wrenloft-core/src/wrenloft_core/_configuration.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: what it holds, how it is checked, how it is split."""
+"""The operators' configuration: its types, validation and sections."""
 
 import json
 import tomllib
@@ -22,7 +22,7 @@
 
 
 class Goal(StrEnum):
-    """What a deployment weighs more when weights spread."""
+    """What a deployment optimises when it distributes weights."""
 
     TIME = "time"
     ORIGIN = "origin"
@@ -32,12 +32,12 @@
 class Fleet:
     """Settings of the whole fleet.
 
-    :param origin_rate: bytes a second that the origin's link carries.
-    :param host_rate: bytes a second that a host's link carries.
-    :param alarm_slots: slots at each runner that only alarms may take.
-    :param answer_bytes: largest answer kept for a keyed request.
-    :param retention: seconds for which a keyed request is remembered.
-    :param spread_seconds: seconds over which refused callers are told to come back.
+    :param origin_rate: bytes a second of the origin's link.
+    :param host_rate: bytes a second of a host's link.
+    :param alarm_slots: slots at each runner that are reserved for alarms.
+    :param answer_bytes: largest answer stored for a keyed request, in bytes.
+    :param retention: seconds for which a keyed request is stored.
+    :param spread_seconds: seconds over which the retry times sent to refused callers are spread.
     """
 
     goal: Goal = Goal.TIME
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyGrant:
-    """One caller's key, stored as a digest, with the classes it may use."""
+    """One caller's key, stored as a digest, with the priority classes that it may use."""
 
     digest: str
     classes: list[Priority]
@@ -63,7 +63,7 @@
 
     :param rate: requests a second.
     :param concurrent: requests in progress.
-    :param queue: requests waiting at one node.
+    :param queue: requests queued at one node.
     """
 
     rate: float = 200.0
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """Who may call."""
+    """An organisation whose callers may send requests."""
 
     keys: list[KeyGrant]
     labels: dict[str, str] = field(default_factory=dict)
@@ -82,10 +82,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model and where one version of it should live.
+    """A model and the placement of one version of it.
 
     :param version: digest of the manifest.
     :param origin_path: path of the weights below the origin's address.
+    :param hosts: selector of the hosts that may run it.
+    :param callers: selector of its callers.
+    :param replicas: number of hosts that run it.
     """
 
     version: str
@@ -97,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route of a plain service, and whether its calls may be repeated."""
+    """One route of a plain service, and whether its calls may be retried."""
 
     method: str
     path: str
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service that stands beside the model engines."""
+    """A plain service that runs on the same hosts as the model engines."""
 
     hosts: Selector
     callers: Selector = field(default_factory=dict)
@@ -115,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Everything that operators state, at one revision."""
+    """The whole configuration by operators, at one revision."""
 
     revision: Revision = Revision(0)
     fleet: Fleet = Fleet()
@@ -132,7 +135,7 @@
 
 
 def parse_configuration(text: str, *, source: str) -> Configuration:
-    """Read an operator's TOML file.
+    """Parse an operator's TOML file.
 
     :raises ConfigurationError: with every fault found.
     """
@@ -144,7 +147,7 @@
 
 
 def _build(fields: Mapping[str, Any], revision: Revision, source: str) -> Configuration:
-    """Structure all tables, collecting the faults of each."""
+    """Structure all tables, and collect the faults of each."""
     faults = [f"{source}: unknown table {name!r}" for name in fields.keys() - {"fleet", *_TABLES}]
     fleet = _structure(fields.get("fleet", {}), Fleet, f"{source}: fleet", faults)
     tables: dict[str, dict[Any, Any]] = {}
@@ -171,7 +174,7 @@
 
 
 def check_configuration(configuration: Configuration) -> Iterator[str]:
-    """Yield every fault that the types alone do not rule out."""
+    """Yield every fault that the types alone don't rule out."""
     fleet = configuration.fleet
     for name in ("origin_rate", "host_rate", "retention", "spread_seconds"):
         if getattr(fleet, name) <= 0:
@@ -199,7 +202,7 @@
 
 
 def split_sections(configuration: Configuration) -> dict[str, bytes]:
-    """Encode a configuration as one section per organisation plus the fleet-wide ones."""
+    """Encode a configuration as one section for each organisation and the fleet-wide ones."""
     sections = {
         f"organisation/{name}": asdict(organisation)
         for name, organisation in configuration.organisations.items()
@@ -217,11 +220,11 @@
 def join_sections(
     digests: Mapping[str, str], bodies: Mapping[str, bytes], revision: Revision
 ) -> Configuration:
-    """Put a configuration together again from its sections.
+    """Reassemble a configuration from its sections.
 
-    :param digests: section names with the digest of each.
-    :param bodies: digests with the bytes of each.
-    :raises ConfigurationError: if a body is missing or is not the one that its digest names.
+    :param digests: the digest of each section, by section name.
+    :param bodies: the bytes of each section, by digest.
+    :raises ConfigurationError: if a body is missing or doesn't match its digest.
     """
     fields: dict[str, Any] = {"organisations": {}}
     for name, digest in digests.items():
--- a/packages/wrenloft-core/tests/test_configuration.py
+++ b/packages/wrenloft-core/tests/test_configuration.py
@@ -34,8 +34,8 @@
 class TestParseConfiguration:
     """Tests for ``parse_configuration``."""
 
-    def test_names_every_fault_at_once(self) -> None:
-        """An operator sees all faults of a file in one go, each with where it stands."""
+    def test_reports_every_fault_at_once(self) -> None:
+        """An operator gets all faults of a file at once, each with its location."""
         text = _TEXT.replace("replicas = 7", "replicas = -1").replace("0" * 64, "short")
         with pytest.raises(ConfigurationError) as raised:
             parse_configuration(text, source="x.toml")
@@ -43,12 +43,12 @@
         assert "models.majster-llm.version" in raised.value.reason
 
     def test_refuses_an_unknown_field(self) -> None:
-        """A misspelt field is refused instead of being passed over."""
+        """A misspelt field is rejected instead of being ignored."""
         with pytest.raises(ConfigurationError, match="replicass"):
             parse_configuration(_TEXT.replace("replicas", "replicass"), source="x.toml")
 
     def test_refuses_a_key_of_two_organisations(self) -> None:
-        """A key that two organisations share would give one the other's rights."""
+        """A key shared by two organisations would give one the other's rights."""
         shared = f'[organisations.orava]\nkeys = [{{digest = "{hash_key("a")}", classes = []}}]\n'
         with pytest.raises(ConfigurationError, match="shares a key"):
             parse_configuration(_TEXT + shared, source="x.toml")
@@ -58,7 +58,7 @@
     """Tests for ``split_sections`` and ``join_sections``."""
 
     def test_joins_to_the_same_configuration(self) -> None:
-        """What was split is put together again unchanged."""
+        """A configuration split into sections is reassembled unchanged."""
         configuration = parse_configuration(_TEXT, source="x.toml")
         sections = split_sections(configuration)
         digests = {name: str(digest_bytes(body)) for name, body in sections.items()}
@@ -66,8 +66,8 @@
         joined = join_sections(digests, bodies, Revision(0))
         assert joined == configuration
 
-    def test_refuses_a_section_that_is_not_the_one_named(self) -> None:
-        """A section whose bytes are not those of its digest never takes effect."""
+    def test_refuses_a_section_that_does_not_match_its_digest(self) -> None:
+        """A section whose bytes don't match its digest never takes effect."""
         sections = split_sections(parse_configuration(_TEXT, source="x.toml"))
         digests = {name: str(digest_bytes(body)) for name, body in sections.items()}
         bodies = dict.fromkeys(digests.values(), b"{}")
