--- a/packages/wrenloft-core/src/wrenloft_core/_counts.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_counts.py
@@ -1,4 +1,4 @@
-"""Counters in the log, for whoever has only the logs afterwards."""
+"""Periodic log lines with the program's counters, for analysis from logs alone."""
 
 import asyncio
 import logging
@@ -10,7 +10,7 @@
 _LOG = logging.getLogger(__name__)
 
 COUNTS_SECONDS = 10.0
-"""Between two lines: a tenth of a line a second, and rates over ten seconds."""
+"""Interval of lines: a tenth of a line a second, with rates over ten seconds."""
 
 _PREFIX = "wrenloft_"
 _SUFFIX = "_total"
@@ -28,9 +28,9 @@
 
 
 async def log_counts(seconds: float = COUNTS_SECONDS) -> None:
-    """Log by how much each counter has risen, again and again until cancelled.
+    """Log the increase of each counter periodically until cancelled.
 
-    :param seconds: between two lines.
+    :param seconds: interval of lines.
     """
     before = read_counts()
     while True:
--- a/packages/wrenloft-core/tests/test_counts.py
+++ b/packages/wrenloft-core/tests/test_counts.py
@@ -1,4 +1,4 @@
-"""Tests of counters in the log."""
+"""Tests of logged counters."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
     """Tests for ``read_counts``."""
 
     def test_names_each_label(self) -> None:
-        """A line is read by people, so it names what was counted and leaves out all else."""
+        """A line names what was counted for a human reader, and only this program's counters."""
         registry = CollectorRegistry()
         counter = Counter("wrenloft_messages", "Messages.", ["kind", "way"], registry=registry)
         Counter("other", "Not ours.", registry=registry).inc()
@@ -23,10 +23,10 @@
 class TestLogCounts:
     """Tests for ``log_counts``."""
 
-    async def test_says_what_has_risen_since_the_last_line(
+    async def test_logs_increases_since_the_last_line(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """On call, with logs only: how many messages a second went where before it failed."""
+        """The rates of messages before a failure can be read from the logs alone."""
         caplog.set_level("INFO")
         counter = Counter("wrenloft_test_lines", "For this test.")
         task = asyncio.create_task(log_counts(0.05))
