--- a/packages/wrenloft-core/src/wrenloft_core/_chunks.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_chunks.py
@@ -1,4 +1,4 @@
-"""Manifests: the only way in which weights are named."""
+"""Manifests, which identify versions of weights by the digests of their chunks."""
 
 import json
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 def digest_bytes(data: bytes | bytearray | memoryview) -> ChunkDigest:
-    """Return the digest that names ``data``."""
+    """Return the digest of ``data``, as hex."""
     return ChunkDigest(blake3(data).hexdigest())
 
 
@@ -28,29 +28,30 @@
 
     @property
     def total(self) -> int:
-        """Size of the weights in bytes."""
+        """Size of the weights, in bytes."""
         return sum(self.sizes)
 
     @property
     def version(self) -> VersionDigest:
-        """The digest of the encoded manifest, which names the version."""
+        """The digest of the encoded manifest, which identifies the version."""
         return VersionDigest(digest_bytes(self.encode()))
 
     def encode(self) -> bytes:
-        """Return the canonical encoding, over which the version is computed."""
+        """Return the canonical encoding, from which the version is computed."""
         return json.dumps(
             {"digests": self.digests, "sizes": self.sizes}, separators=(",", ":")
         ).encode()
 
     def offset(self, chunk: int) -> int:
-        """Return where chunk number ``chunk`` begins in the weights, in bytes."""
+        """Return the offset of a chunk in the weights, in bytes."""
         return sum(self.sizes[:chunk])
 
     @classmethod
     def decode(cls, data: bytes, version: VersionDigest, *, peer: str) -> "Manifest":
-        """Read a manifest and check it against the version that names it.
+        """Decode a manifest and check it against its version.
 
-        :raises IntegrityError: if the bytes are not those of ``version``.
+        :param peer: where it was received from, for the error.
+        :raises IntegrityError: if the digest of ``data`` isn't ``version``.
         """
         if VersionDigest(digest_bytes(data)) != version:
             raise IntegrityError("manifest digest differs", step="read-manifest", peer=peer)
@@ -59,7 +60,7 @@
 
 
 def build_manifest(chunks: Iterable[bytes]) -> Manifest:
-    """Name the given chunks, in order."""
+    """Return the manifest of the given chunks, in order."""
     digests: list[ChunkDigest] = []
     sizes: list[int] = []
     for chunk in chunks:
--- a/packages/wrenloft-core/src/wrenloft_core/_clock.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_clock.py
@@ -1,12 +1,12 @@
-"""The clock for everything that must not outlive a suspension of the host."""
+"""A clock that counts suspensions of the host."""
 
 import time
 
 
 def read_clock() -> float:
-    """Return seconds on a clock that also counts while the host is suspended.
+    """Return seconds on a monotonic clock that also advances while the host is suspended.
 
-    ``time.monotonic`` stands still during a suspension: a node that wakes after ten seconds
-    would take beliefs ten seconds old for fresh ones.
+    ``time.monotonic`` stops during a suspension: after one of ten seconds, a node would treat state
+    that is ten seconds old as current.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/wrenloft-core/src/wrenloft_core/_errors.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_errors.py
@@ -1,12 +1,12 @@
-"""Every error that wrenloft raises."""
+"""Errors raised by wrenloft."""
 
 
 class WrenloftError(Exception):
-    """Base of all errors, with where the failure arose.
+    """Base of all errors, with the step that failed and the peer.
 
     :param reason: what went wrong.
     :param step: the step that failed, such as ``"fetch-chunk"``.
-    :param peer: id or address of the other side, empty if there was none.
+    :param peer: id or address of the other process, empty if there was none.
     """
 
     def __init__(self, reason: str, *, step: str, peer: str = "") -> None:
@@ -17,20 +17,20 @@
 
 
 class SettingsError(WrenloftError):
-    """A settings file holds something that it may not; lists every fault found."""
+    """A settings file is invalid; lists every fault found."""
 
 
 class ConfigurationError(WrenloftError):
-    """A configuration was refused; lists every fault found."""
+    """A configuration is invalid; lists every fault found."""
 
 
 class ConflictError(WrenloftError):
-    """Somebody else's change was accepted first."""
+    """A concurrent change was accepted first."""
 
 
 class PlatformUnavailableError(WrenloftError):
-    """A platform service did not answer, so whether a call took effect is not known."""
+    """A platform service didn't answer, so it isn't known whether the call took effect."""
 
 
 class IntegrityError(WrenloftError):
-    """Bytes did not match the digest that names them."""
+    """Bytes don't match their digest."""
--- a/packages/wrenloft-core/src/wrenloft_core/_headers.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_headers.py
@@ -4,7 +4,7 @@
 
 
 class Header:
-    """Header names; requests and answers share one namespace."""
+    """Header names of requests and answers."""
 
     REQUEST_ID: Final[str] = "X-Wrenloft-Request-Id"
     REVISION: Final[str] = "X-Wrenloft-Revision"
--- a/packages/wrenloft-core/src/wrenloft_core/_ids.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_ids.py
@@ -1,4 +1,4 @@
-"""Ids and the hash that maps them to shards."""
+"""Types of ids and names, and the hash that maps names to shards."""
 
 import secrets
 from typing import NewType
@@ -22,20 +22,20 @@
 
 
 def make_request_id() -> RequestId:
-    """Return an id that no other request has, from the system's entropy."""
+    """Return a unique id from the system's random number generator."""
     return RequestId(secrets.token_hex(12))
 
 
 def pick_shard(name: str, shard_count: int) -> ShardNumber:
-    """Map a name to one of ``shard_count`` shards, the same in every process."""
+    """Map a name to one of ``shard_count`` shards, equally in every process."""
     return ShardNumber(int.from_bytes(blake3(name.encode()).digest(8), "big") % shard_count)
 
 
 def name_request(organisation: str, key: str) -> str:
-    """Return the name whose hash is a keyed request's shard."""
+    """Return the name that is hashed to a keyed request's shard."""
     return f"request/{organisation}/{key}"
 
 
 def name_model(model: ModelName) -> str:
-    """Return the name whose hash is a model's shard."""
+    """Return the name that is hashed to a model's shard."""
     return f"model/{model}"
--- a/packages/wrenloft-core/src/wrenloft_core/_outcomes.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a request."""
+"""Priorities and outcomes of requests."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,7 +13,7 @@
 
     @property
     def rank(self) -> int:
-        """0 for the most urgent class."""
+        """Rank of the class, 0 for the most urgent."""
         return _RANKS[self]
 
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The request ran and its whole answer was passed on.
+    """The request ran and its answer was sent completely to the caller.
 
     :param peer: the agent that ran it.
     """
@@ -35,9 +35,9 @@
     """The request provably never started at a runner.
 
     :param step: the step that refused it.
-    :param peer: who refused it, empty if this node did.
-    :param retry_after: seconds after which to come back, ``None`` if it would be in vain.
-    :param status: the HTTP status that says so.
+    :param peer: id or address of the process that refused it, empty if this node did.
+    :param retry_after: seconds after which to retry, ``None`` if a retry can't succeed.
+    :param status: HTTP status of the answer to the caller.
     """
 
     step: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run, and nobody is left who could tell."""
+    """The request may have run, and there is no way left to find out."""
 
     step: str
     reason: str
--- a/packages/wrenloft-core/src/wrenloft_core/_secrets.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_secrets.py
@@ -6,15 +6,15 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hex digest under which a caller's key is stored."""
+    """Return the digest under which a caller's key is stored, as hex."""
     return blake3(key.encode()).hexdigest()
 
 
 def matches_digest(key: str, digest: str) -> bool:
-    """Tell whether ``key`` hashes to ``digest``."""
+    """Return whether ``key`` hashes to ``digest``."""
     return hmac.compare_digest(hash_key(key), digest)
 
 
 def matches_secret(given: str, expected: str) -> bool:
-    """Tell whether two secrets are equal."""
+    """Return whether two secrets are equal."""
     return hmac.compare_digest(given.encode(), expected.encode())
--- a/packages/wrenloft-core/src/wrenloft_core/_settings.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: TOML, checked whole, every fault named at once."""
+"""Settings files in TOML, validated with all faults reported at once."""
 
 import tomllib
 from collections.abc import Mapping
@@ -16,9 +16,9 @@
 
 
 def structure_settings(fields: Mapping[str, Any], kind: type[T], *, source: str) -> T:
-    """Turn plain values into a settings class.
+    """Structure plain values as a settings class.
 
-    :param source: the file or section named in the error.
+    :param source: the file or section to name in the error.
     :raises SettingsError: with one line per fault.
     """
     try:
@@ -29,9 +29,9 @@
 
 
 def read_settings(path: Path, kind: type[T]) -> T:
-    """Read and check one settings file.
+    """Read and validate one settings file.
 
-    :raises SettingsError: if it can't be read, is no TOML, or holds a wrong value.
+    :raises SettingsError: if it can't be read, isn't valid TOML, or has an invalid value.
     """
     try:
         fields = tomllib.loads(path.read_text())
