--- a/packages/wrenloft-core/src/wrenloft_core/_logs.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_logs.py
@@ -70,7 +70,7 @@
         self._lines: deque[str] = deque()
         self._second = 0
         self._count = 0
-        self._dropped = 0
+        self._unreported_drops = 0
         self.dropped = 0
         self._wake = threading.Event()
         self._writing = False
@@ -84,7 +84,7 @@
             self._report_drops()
         allowed = self._rate * (2 if record.levelno >= logging.WARNING else 1)
         if self._count >= allowed or len(self._lines) >= _MAX_QUEUED_LINES:
-            self._dropped += 1
+            self._unreported_drops += 1
             self.dropped += 1
             return
         self._count += 1
@@ -112,9 +112,9 @@
         self._wake.set()
 
     def _report_drops(self) -> None:
-        if not self._dropped:
+        if not self._unreported_drops:
             return
-        dropped, self._dropped = self._dropped, 0
+        dropped, self._unreported_drops = self._unreported_drops, 0
         record = logging.makeLogRecord(
             {"name": __name__, "msg": "log lines dropped", "levelname": "WARNING"}
         )
--- a/packages/wrenloft-core/src/wrenloft_core/_settings.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_settings.py
@@ -24,7 +24,7 @@
     try:
         return _CONVERTER.structure(fields, kind)
     except Exception as error:
-        faults = "; ".join(_name_fault(line) for line in transform_error(error, path=source))
+        faults = "; ".join(_format_fault(line) for line in transform_error(error, path=source))
         raise SettingsError(faults, step="check-settings", peer=source) from error
 
 
@@ -40,5 +40,5 @@
     return structure_settings(fields, kind, source=str(path))
 
 
-def _name_fault(line: str) -> str:
+def _format_fault(line: str) -> str:
     return line.replace("@ ", "at ")
