--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_assignments.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_assignments.py
@@ -32,7 +32,7 @@
         if len(at_origin) < MIN_AT_ORIGIN:
             at_origin = everyone
         first = sorted(each.address for each in at_origin)
-        self._order = first + [each for each in self.addresses if each not in set(first)]
+        self._origin_order = first + [each for each in self.addresses if each not in set(first)]
         self._own = own.address
         self._region = own.region
         self._far_regions = sorted({each.region for each in everyone if not each.at_origin})
@@ -68,18 +68,21 @@
     @property
     def rank_at_origin(self) -> int:
         """This agent's rank among those that fetch from the origin without an assignment."""
-        return self._order.index(self._own)
+        return self._origin_order.index(self._own)
 
     def bind_origin_fetchers(
-        self, late: float, drain_seconds: float = 0.0
+        self, late_seconds: float, drain_seconds: float = 0.0
     ) -> Callable[[int], list[str]]:
         """Return a function from a chunk to the agents that may fetch it from the origin.
 
-        :param late: seconds for which chunks have been late.
+        :param late_seconds: seconds for which chunks have been late.
         :param drain_seconds: time for one copy of the version on the origin's link, the least time
             before a chunk is reassigned to the next agent.
         """
         each = max(1, FEEDERS // self._parts)
-        turn = max(TURN_SECONDS, drain_seconds)
-        origin_fetchers = [list_feeders(members, late, turn, each) for members in self._at_origin]
+        reassign_seconds = max(TURN_SECONDS, drain_seconds)
+        origin_fetchers = [
+            list_feeders(members, late_seconds, reassign_seconds, each)
+            for members in self._at_origin
+        ]
         return lambda chunk: origin_fetchers[self.find_part(chunk)]
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_server.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_server.py
@@ -127,7 +127,7 @@
         self._chunk_store = chunk_store
         self._latest = latest
         self._is_stopping = is_stopping
-        self._uploads = 0
+        self._upload_count = 0
         self._queue = UploadQueue()
 
     def routes(self) -> list[web.RouteDef]:
@@ -152,8 +152,9 @@
                     fields["span"] = None
                 await response.write(json.dumps(fields).encode() + b"\n")
                 MESSAGES.labels("report").inc()
-            # A change of what the engine serves is sent at once: until entry nodes receive it, they
-            # send requests to an engine that refuses them, or refuse callers that it could serve.
+            # A change of what the engine serves is sent at once: for each tenth of a second of
+            # delay, entry nodes send requests to an engine that refuses them, or refuse callers
+            # that it could serve.
             await _wait(service_changed, MIN_REPORT_SECONDS)
             if not service_changed.is_set():
                 await _wait(changed, MAX_REPORT_SECONDS - MIN_REPORT_SECONDS)
@@ -191,15 +192,15 @@
         data = version_chunks.get(_read_integer(request, "chunk"))
         if data is None:
             raise web.HTTPNotFound
-        rest = request.query.get("urgency") == Urgency.REST.value
-        if self._uploads >= (MAX_REST_UPLOADS if rest else MAX_UPLOADS):
+        is_rest = request.query.get("urgency") == Urgency.REST.value
+        if self._upload_count >= (MAX_REST_UPLOADS if is_rest else MAX_UPLOADS):
             raise web.HTTPTooManyRequests
-        self._uploads += 1
+        self._upload_count += 1
         try:
-            async with self._queue.reserve(urgent=not rest):
+            async with self._queue.reserve(urgent=not is_rest):
                 return await self._send_paced(request, data)
         finally:
-            self._uploads -= 1
+            self._upload_count -= 1
 
     async def _send_paced(self, request: web.Request, data: bytes) -> web.StreamResponse:
         response = web.StreamResponse()
