--- a/packages/wrenloft-core/src/wrenloft_core/_settings.py
+++ b/packages/wrenloft-core/src/wrenloft_core/_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: TOML, checked whole, every fault named at once."""
+"""Settings files in TOML, validated with all faults reported at once."""
 
 import tomllib
 from collections.abc import Mapping
@@ -16,22 +16,22 @@
 
 
 def structure_settings(fields: Mapping[str, Any], kind: type[T], *, source: str) -> T:
-    """Turn plain values into a settings class.
+    """Structure plain values as a settings class.
 
-    :param source: the file or section named in the error.
+    :param source: the file or section to name in the error.
     :raises SettingsError: with one line per fault.
     """
     try:
         return _CONVERTER.structure(fields, kind)
     except Exception as error:
-        faults = "; ".join(_name_fault(line) for line in transform_error(error, path=source))
+        faults = "; ".join(_format_fault(line) for line in transform_error(error, path=source))
         raise SettingsError(faults, step="check-settings", peer=source) from error
 
 
 def read_settings(path: Path, kind: type[T]) -> T:
-    """Read and check one settings file.
+    """Read and validate one settings file.
 
-    :raises SettingsError: if it can't be read, is no TOML, or holds a wrong value.
+    :raises SettingsError: if it can't be read, isn't valid TOML, or has an invalid value.
     """
     try:
         fields = tomllib.loads(path.read_text())
@@ -40,5 +40,5 @@
     return structure_settings(fields, kind, source=str(path))
 
 
-def _name_fault(line: str) -> str:
+def _format_fault(line: str) -> str:
     return line.replace("@ ", "at ")
