--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -559,25 +559,25 @@
     ),
     Safeguard(
         "an agent lists nothing before the seed's key is read",
-        f"{ADAPTER}/_feed.py",
+        f"{ADAPTER}/_relay_tracker.py",
         "return self._has_asked and not self.is_fed",
         "return True",
-        f"{ADAPTER_TESTS}/test_feed.py::TestFeed"
+        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestFeed"
         "::test_lists_nothing_while_the_store_answers_nothing",
     ),
     Safeguard(
         "agents of a large fleet wait longer",
-        f"{ADAPTER}/_feed.py",
+        f"{ADAPTER}/_relay_tracker.py",
         "self._patience if self.is_large else 0.0",
         "0.0",
-        f"{ADAPTER_TESTS}/test_feed.py::TestFeed::test_agents_of_a_large_fleet_wait_longer",
+        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestFeed::test_agents_of_a_large_fleet_wait_longer",
     ),
     Safeguard(
         "a change of rules is not told to agents",
-        f"{ADAPTER}/_reduced.py",
+        f"{ADAPTER}/_agent_documents.py",
         "if self._reduced is None or self._reduced.value != value:",
         "if True:",
-        f"{ADAPTER_TESTS}/test_reduced.py::TestAgentDocuments" "::test_change_of_rules_is_not_told",
+        f"{ADAPTER_TESTS}/test_agent_documents.py::TestAgentDocuments" "::test_change_of_rules_is_not_told",
     ),
     Safeguard(
         "urgent chunks go first",
@@ -774,7 +774,7 @@
         f"{ADAPTER}/_store.py",
         'expected = [{"key": key, "revision": 0}]',
         "expected: list[dict[str, Any]] = []",
-        f"{ADAPTER_TESTS}/test_holds.py::test_one_of_two_nodes_claims_a_trial",
+        f"{ADAPTER_TESTS}/test_quarantines.py::test_one_of_two_nodes_claims_a_trial",
     ),
     Safeguard(
         "a rate limit is read from answers",
--- a/tests/platform/test_holds.py
+++ b/tests/platform/test_quarantines.py
@@ -8,8 +8,8 @@
 from aiohttp import ClientSession
 
 from wrenloft_core import ContentId, IncarnationId
-from wrenloft_platform import _holds
-from wrenloft_platform._holds import StoredHolds, decode_holds, encode_hold
+from wrenloft_platform import _quarantines
+from wrenloft_platform._quarantines import StoredHolds, decode_holds, encode_hold
 from wrenloft_platform._store import StoreClient
 from wrenloft_policy import TRIAL_SECONDS, Standing
 from wrenloft_routing import Item, Reading, ToldCrash
@@ -71,7 +71,7 @@
     client: StoreClient, store: StandinStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The store was away at the third crash; the hold is written when it answers again."""
-    monkeypatch.setattr(_holds, "RETRY_SECONDS", 0.02)
+    monkeypatch.setattr(_quarantines, "RETRY_SECONDS", 0.02)
     store.refuse = True
     holds = StoredHolds(client)
     holds.keep(CONTENT, CRASHES)
--- a/tests/platform/test_feed.py
+++ b/tests/platform/test_relay_tracker.py
@@ -7,8 +7,8 @@
 from aiohttp import ClientSession
 
 from wrenloft_core import PlaceName, read_clock
-from wrenloft_platform import _feed
-from wrenloft_platform._feed import FED_SECONDS, Feed
+from wrenloft_platform import _relay_tracker
+from wrenloft_platform._relay_tracker import FED_SECONDS, Feed
 from wrenloft_platform._store import StoreClient
 
 from .conftest import StandinStore
@@ -32,7 +32,7 @@
 
         Lists asked for instead, a megabyte each by hundreds of agents, would keep them full.
         """
-        monkeypatch.setattr(_feed, "RETRY_SECONDS", 0.01)
+        monkeypatch.setattr(_relay_tracker, "RETRY_SECONDS", 0.01)
         store.refuse = True
         asking = asyncio.create_task(feed.find_seed())
         async with asyncio.timeout(5):
