--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -349,10 +349,10 @@
     Safeguard(
         "adapter: the newest incarnation at an address counts",
         f"{ADAPTER}/_follow.py",
-        "for item in sorted(reading.items, key=lambda each: each.revision):",
-        "for item in reading.items:",
-        f"{ADAPTER_TESTS}/test_decode.py::TestEndpointEntries"
-        "::test_newest_incarnation_at_an_address_counts",
+        "for item in sorted(snapshot.items, key=lambda each: each.revision):",
+        "for item in snapshot.items:",
+        f"{ADAPTER_TESTS}/test_decode.py::TestEndpointDecoder"
+        "::test_latest_incarnation_at_an_address_wins",
     ),
     Safeguard(
         "adapter: an answer without length needs a clean end",
@@ -360,7 +360,7 @@
         "if not data and not self._framed:",
         "if False:",
         f"{ADAPTER_TESTS}/test_runner.py::TestRunnerTransport"
-        "::test_unframed_answer_ends_with_a_clean_close_only",
+        "::test_response_without_length_needs_a_clean_close",
     ),
     Safeguard(
         "adapter: the client library repeats nothing",
@@ -368,7 +368,7 @@
         "session._retry_connection = False",
         "session._retry_connection = True",
         f"{ADAPTER_TESTS}/test_runner.py::TestRunnerTransport"
-        "::test_closed_kept_connection_is_lost_and_sent_once",
+        "::test_request_on_a_closed_kept_alive_connection_is_sent_once",
     ),
     Safeguard(
         "a later start of an endpoint begins anew",
@@ -391,8 +391,8 @@
         f"{ADAPTER}/_follow.py",
         "if services is not None and endpoint.service not in services:",
         "if False:",
-        f"{ADAPTER_TESTS}/test_decode.py::TestEndpointEntries"
-        "::test_entry_of_another_writer_takes_nobody_s_place",
+        f"{ADAPTER_TESTS}/test_decode.py::TestEndpointDecoder"
+        "::test_invalid_entry_does_not_replace_an_endpoint",
     ),
     Safeguard(
         "what waits shares the room by chance",
@@ -547,37 +547,40 @@
         f"{ADAPTER}/_ranges.py",
         "except HistoryLostError:",
         "except ZeroDivisionError:",
-        f"{ADAPTER_TESTS}/test_ranges.py::TestRangeReader::test_lost_history_is_read_whole",
+        f"{ADAPTER_TESTS}/test_ranges.py::TestRangeReader"
+        "::test_compacted_history_causes_a_full_read",
     ),
     Safeguard(
         "one node of a zone becomes its seed",
         f"{ADAPTER}/_seeds.py",
         "            return await self.find()\n        return own",
         "            return own\n        return own",
-        f"{ADAPTER_TESTS}/test_seeds.py::TestSeeds"
-        "::test_all_that_start_together_ask_the_same_node",
+        f"{ADAPTER_TESTS}/test_seeds.py::TestSeedRegistry"
+        "::test_nodes_that_start_together_find_one_seed",
     ),
     Safeguard(
         "an agent lists nothing before the seed's key is read",
         f"{ADAPTER}/_relay_tracker.py",
-        "return self._has_asked and not self.is_fed",
+        "return self._seed_read and not self.is_current",
         "return True",
-        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestFeed"
-        "::test_lists_nothing_while_the_store_answers_nothing",
+        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestRelayTracker"
+        "::test_lists_nothing_until_the_seed_key_is_read",
     ),
     Safeguard(
         "agents of a large fleet wait longer",
         f"{ADAPTER}/_relay_tracker.py",
-        "self._patience if self.is_large else 0.0",
+        "self._extra_wait if self.is_large else 0.0",
         "0.0",
-        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestFeed::test_agents_of_a_large_fleet_wait_longer",
+        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestRelayTracker"
+        "::test_agents_of_a_large_fleet_wait_longer",
     ),
     Safeguard(
-        "a change of rules is not told to agents",
+        "a change of rules is not sent to agents",
         f"{ADAPTER}/_agent_documents.py",
         "if self._reduced is None or self._reduced.value != value:",
         "if True:",
-        f"{ADAPTER_TESTS}/test_agent_documents.py::TestAgentDocuments" "::test_change_of_rules_is_not_told",
+        f"{ADAPTER_TESTS}/test_agent_documents.py::TestAgentDocuments"
+        "::test_change_of_rules_is_not_sent",
     ),
     Safeguard(
         "urgent chunks go first",
@@ -763,26 +766,27 @@
         "::test_call_that_waits_at_a_dark_endpoint_is_counted_before_its_deadline",
     ),
     Safeguard(
-        "a hold outlives every node",
+        "a quarantine outlives every node",
         f"{ADAPTER}/_entry.py",
-        "self._crashes.merge(holds, CrashSource.STORE)",
+        "self._crashes.merge(quarantines, CrashSource.STORE)",
         "pass",
-        f"{ADAPTER_TESTS}/test_crashing_content.py::test_hold_outlives_every_entry_node",
+        f"{ADAPTER_TESTS}/test_crashing_content.py"
+        "::test_quarantine_survives_restart_of_all_entry_nodes",
     ),
     Safeguard(
-        "a trial is one node's only",
+        "only one node claims a probe",
         f"{ADAPTER}/_store.py",
         'expected = [{"key": key, "revision": 0}]',
         "expected: list[dict[str, Any]] = []",
-        f"{ADAPTER_TESTS}/test_quarantines.py::test_one_of_two_nodes_claims_a_trial",
+        f"{ADAPTER_TESTS}/test_quarantines.py::test_only_one_of_two_nodes_claims_a_probe",
     ),
     Safeguard(
         "a rate limit is read from answers",
         f"{ADAPTER}/_runner.py",
-        "self.named_limit = read_named_limit(headers.getall(names.RATE_LIMIT, ()))",
+        "self.named_limit = parse_named_limit(headers.getall(names.RATE_LIMIT, ()))",
         "self.named_limit = None",
         f"{ADAPTER_TESTS}/test_rate_limits.py"
-        "::test_limited_endpoint_gets_no_more_from_all_nodes_than_it_named[1.8]",
+        "::test_all_nodes_together_keep_to_the_limit_of_an_endpoint[1.8]",
     ),
     Safeguard(
         "each try to a limited endpoint needs a grant",
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -16,7 +16,7 @@
 import pytest
 from aiohttp import ClientSession, web
 
-from wrenloft_platform._serve import open_once_session
+from wrenloft_platform._serve import open_no_retry_session
 
 LOOPBACK = "127.0.0.1"
 
@@ -49,8 +49,8 @@
     """The store's calls over a dictionary.
 
     :param refuse: answers 503 to everything and does nothing.
-    :param lose: carries out this many calls and closes their connections without an answer.
-    :param forgotten: revisions up to this one are gone from the history.
+    :param lost_answers: carries out this many calls and closes their connections without an answer.
+    :param compacted: revisions up to this one are gone from the history.
     """
 
     items: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -58,8 +58,8 @@
     leases: dict[int, int] = field(default_factory=dict)
     revision: int = 10
     refuse: bool = False
-    lose: int = 0
-    forgotten: int = 0
+    lost_answers: int = 0
+    compacted: int = 0
     page: int = 500
     calls: list[str] = field(default_factory=list)
     address: str = ""
@@ -94,7 +94,7 @@
 
     def build(self) -> web.Application:
         """Return the application that serves the calls."""
-        app = web.Application(middlewares=[self._misbehave])
+        app = web.Application(middlewares=[self._inject_faults])
         app.add_routes(
             [
                 web.get("/kv-key", self._read),
@@ -109,13 +109,13 @@
         return app
 
     @web.middleware
-    async def _misbehave(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
         self.calls.append(f"{request.method} {request.path}")
         if self.refuse:
             return web.Response(status=503)
         response: web.StreamResponse = await handler(request)
-        if self.lose > 0:
-            self.lose -= 1
+        if self.lost_answers > 0:
+            self.lost_answers -= 1
             assert request.transport is not None
             request.transport.close()
         return response
@@ -141,7 +141,7 @@
 
     async def _watch(self, request: web.Request) -> web.Response:
         after = int(request.query["after"])
-        if after < self.forgotten:
+        if after < self.compacted:
             return web.json_response({}, status=410)
         prefix = request.query["prefix"]
         changed = self.changed
@@ -211,14 +211,14 @@
     :param answers: one for each request; ``{id}`` stands for the request's id. ``None`` closes
         the connection without an answer; ``b"RESET"`` at the end resets it.
     :param pause: seconds after each part of an answer.
-    :param left: answers during which the other side closed.
+    :param disconnects: answers during which the other side closed.
     """
 
     answers: list[bytes | None] = field(default_factory=list)
     received: list[Received] = field(default_factory=list)
     address: str = ""
     pause: float = 0.0
-    left: int = 0
+    disconnects: int = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the requests of one connection."""
@@ -236,9 +236,9 @@
         body = await reader.readexactly(int(headers.get("content-length", "0")))
         received = Received(line, headers, body)
         self.received.append(received)
-        if await self._may_crash(received, writer):
+        if await self._maybe_crash(received, writer):
             return False
-        answer = self.pick_answer()
+        answer = self.next_answer()
         if answer is None:
             return False
         reset = answer.endswith(b"RESET")
@@ -251,10 +251,10 @@
                 await asyncio.sleep(self.pause)
             except ConnectionError:
                 # The other side closed with an event unread, which resets the connection.
-                self.left += 1
+                self.disconnects += 1
                 raise
             if reader.at_eof() or reader.exception() is not None:
-                self.left += 1
+                self.disconnects += 1
                 return False
         if reset:
             await asyncio.sleep(0.05)
@@ -262,11 +262,11 @@
             return False
         return b"content-length" in data.lower() or b"chunked" in data.lower()
 
-    def pick_answer(self) -> bytes | None:
+    def next_answer(self) -> bytes | None:
         """Return what the next request is answered with."""
-        return self.answers.pop(0) if self.answers else whole_answer(b"ok")
+        return self.answers.pop(0) if self.answers else full_response(b"ok")
 
-    async def _may_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
+    async def _maybe_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
         """Crash if the request is one that does so; return whether it was."""
         return False
 
@@ -282,13 +282,13 @@
     limit: str | None = None
     begun_at: list[float] = field(default_factory=list)
 
-    def pick_answer(self) -> bytes | None:
+    def next_answer(self) -> bytes | None:
         self.begun_at.append(asyncio.get_running_loop().time())
-        named = self.name_limit()
+        named = self.get_named_limit()
         extra = b"" if named is None else f"Server-Limit: {named}\r\n".encode()
-        return whole_answer(b"ok", extra=extra)
+        return full_response(b"ok", extra=extra)
 
-    def name_limit(self) -> str | None:
+    def get_named_limit(self) -> str | None:
         """Return the limit that the next answer names."""
         return self.limit
 
@@ -296,7 +296,7 @@
         """Return how many requests came in a span of time."""
         return sum(start < at <= end for at in self.begun_at)
 
-    def count_most(self, seconds: float, after: float) -> int:
+    def count_peak(self, seconds: float, after: float) -> int:
         """Return the most requests that came in any such span, of those after a time."""
         counted = [at for at in self.begun_at if at > after]
         return max(
@@ -369,7 +369,7 @@
         finally:
             self._writers.discard(writer)
 
-    async def _may_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
+    async def _maybe_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
         if self.crash_on not in received.body:
             return False
         await self._crash(received, writer)
@@ -380,7 +380,7 @@
         self.begun_at.append(loop.time())
         if self.sign is CrashSign.CUT:
             request_id = received.headers.get("x-attempt-id", "").encode()
-            answer = stream_answer(b"id: 0\n\n", end=False).removesuffix(b"RESET")
+            answer = stream_response(b"id: 0\n\n", end=False).removesuffix(b"RESET")
             writer.write(answer.replace(b"{id}", request_id))
         await asyncio.sleep(self.crash_seconds)
         if self._server is None:
@@ -391,22 +391,22 @@
         silent = set(self._writers)
         if self.sign is not CrashSign.SILENT:
             await self.stop()
-        await self._come_back()
+        await self._restart()
         if self.sign is CrashSign.SILENT:
             await asyncio.sleep(self.down_seconds * 4)
             for each in silent:
                 if not each.is_closing():
                     _reset(each)
 
-    async def fall(self) -> None:
+    async def lose_power(self) -> None:
         """End as if power were lost, whatever runs here, and come back."""
         if self._server is not None:
             self._server.close()
             self._server = None
             await self.stop()
-            await self._come_back()
+            await self._restart()
 
-    async def _come_back(self) -> None:
+    async def _restart(self) -> None:
         await asyncio.sleep(self.down_seconds)
         self.store.remove(f"servers/{self.name}-{self._starts}")
         await self.start()
@@ -419,7 +419,7 @@
     writer.transport.abort()
 
 
-def whole_answer(body: bytes, status: str = "200 OK", extra: bytes = b"") -> bytes:
+def full_response(body: bytes, status: str = "200 OK", extra: bytes = b"") -> bytes:
     """Return a framed answer of this request's own."""
     return (
         b"HTTP/1.1 " + status.encode() + b"\r\nX-Attempt-Id: {id}\r\nX-Response-Stamp: s1\r\n"
@@ -427,7 +427,7 @@
     )
 
 
-def stream_answer(*events: bytes, end: bool = True) -> bytes:
+def stream_response(*events: bytes, end: bool = True) -> bytes:
     """Return a chunked event stream of this request's own."""
     head = (
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Stamp: s1\r\n"
@@ -472,4 +472,4 @@
 @pytest.fixture
 async def session(stack: AsyncExitStack) -> ClientSession:
     """Open a session that sends each request once."""
-    return await stack.enter_async_context(open_once_session())
+    return await stack.enter_async_context(open_no_retry_session())
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -79,8 +79,8 @@
             self.busy -= 1
             return web.Response(status=409)
         version = (await request.json())["version"]
-        whole = all(self.staged.get(n) == _chunk(version, n) for n in range(COUNT))
-        self.loaded.append((version, whole))
+        complete = all(self.staged.get(n) == _chunk(version, n) for n in range(COUNT))
+        self.loaded.append((version, complete))
         self.version = version
         return web.Response(status=202)
 
@@ -95,7 +95,7 @@
     return web.Response(body=_chunk(int(request.query["version"]), int(request.query["quantity"])))
 
 
-async def _serve(stack: AsyncExitStack, routes: list[web.RouteDef]) -> str:
+async def _start_server(stack: AsyncExitStack, routes: list[web.RouteDef]) -> str:
     app = web.Application()
     app.add_routes(routes)
     runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -141,7 +141,7 @@
         "place": "z1",
         "region": "r1",
         "regions": {"z1": "r1"},
-        "engine": await _serve(stack, engine.routes()),
+        "engine": await _start_server(stack, engine.routes()),
         "service": "engines",
         "internal_port": port,
         "store": store.address,
@@ -165,14 +165,14 @@
     stack: AsyncExitStack, store: StandinStore, engine: StandinEngine, tmp_path: Path
 ) -> tuple[asyncio.subprocess.Process, str]:
     """Run an agent; gives the process and its address."""
-    origin = await _serve(
+    origin = await _start_server(
         stack, [web.get("/manifest/{m}", _send_manifest), web.get("/piece/{m}", _send_piece)]
     )
     store.put("op/config", _configure(origin))
     return await _start_agent(stack, store, engine, tmp_path)
 
 
-async def _wait_for(engine: StandinEngine, version: int) -> None:
+async def _wait_for_version(engine: StandinEngine, version: int) -> None:
     async with asyncio.timeout(20):
         while engine.version != version:
             await asyncio.sleep(0.05)
@@ -181,39 +181,39 @@
 class TestAgent:
     """Tests of the agent's program."""
 
-    async def test_brings_an_empty_engine_to_each_named_version(
+    async def test_loads_each_named_version_into_an_empty_engine(
         self, agent: object, engine: StandinEngine, store: StandinStore
     ) -> None:
         """The engine gets the first version by itself and the second once it is named."""
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         store.put(f"op/version/{MODEL}", {"model": MODEL, "version": 2})
-        await _wait_for(engine, 2)
+        await _wait_for_version(engine, 2)
         assert engine.loaded == [(1, True), (2, True)]
 
-    async def test_orders_again_while_the_engine_is_busy(
+    async def test_retries_the_order_while_the_engine_is_busy(
         self, agent: object, engine: StandinEngine
     ) -> None:
         """An engine that refuses two orders is ordered until it accepts one."""
         engine.busy = 2
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         assert engine.loaded == [(1, True)]
 
     async def test_reports_its_engine(
         self, agent: tuple[asyncio.subprocess.Process, str], engine: StandinEngine
     ) -> None:
         """An entry node that asks gets a line with the engine's load and version."""
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         url = f"http://{agent[1]}/reports"
         async with asyncio.timeout(10), ClientSession() as client, client.get(url) as response:
             while (report := json.loads(await response.content.readline()))["version"] != 1:
                 pass
         assert (report["running"], report["loading"]) == (3, False)
 
-    async def test_stops_by_itself(
+    async def test_stops_on_sigterm(
         self, agent: tuple[asyncio.subprocess.Process, str], engine: StandinEngine
     ) -> None:
         """A stop ends the process within the grace time, also while a report is followed."""
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         async with ClientSession() as client:
             async with client.get(f"http://{agent[1]}/reports") as response:
                 await response.content.readline()
@@ -248,10 +248,10 @@
         return response
 
 
-class TestFedAgent:
+class TestAgentWithRelay:
     """Tests of an agent that an entry node feeds."""
 
-    async def test_goes_by_its_relay_and_by_the_store_when_that_is_gone(
+    async def test_uses_its_relay_and_falls_back_to_the_store(
         self,
         agent: tuple[asyncio.subprocess.Process, str],
         engine: StandinEngine,
@@ -263,11 +263,11 @@
         Then the relay dies and the store is back: the agent asks it again, and has the version
         that is named next. An agent that knows one source only would stay on the older weights.
         """
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         relay = StandinRelay()
         configuration = base64.b64decode(store.items["op/config"]["value"])
         relay.items = [Item("op/config", configuration, 11)]
-        address = await _serve(stack, [web.get("/frames", relay.stream)])
+        address = await _start_server(stack, [web.get("/frames", relay.stream)])
         client = await stack.enter_async_context(ClientSession())
         reports = await client.get(f"http://{agent[1]}/reports", params={"relay": address})
         async with asyncio.timeout(10):
@@ -276,14 +276,14 @@
         named = json.dumps({"model": MODEL, "version": 2}).encode()
         relay.items.append(Item(f"op/version/{MODEL}", named, 51))
         relay.revision = 51
-        await _wait_for(engine, 2)
+        await _wait_for_version(engine, 2)
         relay.ended.set()
         reports.close()
         store.refuse = False
         store.put(f"op/version/{MODEL}", {"model": MODEL, "version": 3})
-        await _wait_for(engine, 3)
+        await _wait_for_version(engine, 3)
 
-    async def test_asks_the_store_for_nothing_while_it_is_fed(
+    async def test_does_not_call_the_store_while_a_relay_sends_updates(
         self,
         agent: tuple[asyncio.subprocess.Process, str],
         engine: StandinEngine,
@@ -294,9 +294,9 @@
 
         Fed by a relay none of them calls.
         """
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         relay = StandinRelay()
-        address = await _serve(stack, [web.get("/frames", relay.stream)])
+        address = await _start_server(stack, [web.get("/frames", relay.stream)])
         client = await stack.enter_async_context(ClientSession())
         await client.get(f"http://{agent[1]}/reports", params={"relay": address})
         async with asyncio.timeout(10):
@@ -309,7 +309,7 @@
                 await asyncio.sleep(3.0)
         relay.ended.set()
 
-    async def test_stops_by_itself_while_it_is_fed(
+    async def test_stops_on_sigterm_while_a_relay_is_connected(
         self,
         agent: tuple[asyncio.subprocess.Process, str],
         engine: StandinEngine,
@@ -319,12 +319,12 @@
 
         An agent that waits for its relay to go would be killed at the end of its grace time.
         """
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         relay = StandinRelay()
-        address = await _serve(stack, [web.get("/frames", relay.stream)])
+        address = await _start_server(stack, [web.get("/frames", relay.stream)])
         client = await stack.enter_async_context(ClientSession())
         reports = await client.get(f"http://{agent[1]}/reports", params={"relay": address})
-        held = await client.get(f"http://{agent[1]}/held/{MODEL}/2")
+        stored_chunks = await client.get(f"http://{agent[1]}/held/{MODEL}/2")
         async with asyncio.timeout(10):
             await relay.followed.wait()
         agent[0].send_signal(signal.SIGTERM)
@@ -332,9 +332,9 @@
             assert await agent[0].wait() == 0
         relay.ended.set()
         reports.close()
-        held.close()
+        stored_chunks.close()
 
-    async def test_asks_its_zones_seed_and_not_the_store_for_lists(
+    async def test_reads_lists_from_the_zone_seed_not_the_store(
         self, stack: AsyncExitStack, store: StandinStore, engine: StandinEngine, tmp_path: Path
     ) -> None:
         """All processes start anew, and the configuration has grown to half a megabyte.
@@ -343,12 +343,12 @@
         for seconds, and no engine got its weights. The zone's seed has all that an agent needs.
         """
         relay = StandinRelay()
-        address = await _serve(stack, [web.get("/frames", relay.stream)])
-        origin = await _serve(
+        address = await _start_server(stack, [web.get("/frames", relay.stream)])
+        origin = await _start_server(
             stack, [web.get("/manifest/{m}", _send_manifest), web.get("/piece/{m}", _send_piece)]
         )
         relay.items = [Item("op/config", json.dumps(_configure(origin)).encode(), 11)]
         store.put("wrenloft/seed/z1", {"internal": address, "large": False})
         await _start_agent(stack, store, engine, tmp_path)
-        await _wait_for(engine, 1)
+        await _wait_for_version(engine, 1)
         assert "GET /kv-range" not in store.calls
--- a/tests/platform/test_crashing_content.py
+++ b/tests/platform/test_crashing_content.py
@@ -19,7 +19,7 @@
 import pytest
 from aiohttp import ClientError, ClientSession
 
-from .conftest import CrashingEndpoint, CrashSign, StandinStore, stream_answer, whole_answer
+from .conftest import CrashingEndpoint, CrashSign, StandinStore, full_response, stream_response
 from .test_programs import CONFIGURATION, KEY, Entry, start_program, write_settings
 
 SEED = 5
@@ -31,13 +31,13 @@
 SETTLE_SECONDS = 3.0
 """From the third crash until every node that is in touch must know of it."""
 
-MOST_AFTERWARDS = 3
+MAX_SENT_AFTERWARDS = 3
 """Sends allowed later than that, over the whole fleet."""
 
-REPEATS_SECONDS = 5.0
+REPEAT_SECONDS = 5.0
 """For which the request is repeated after that, so that endpoints are back and could be sent it."""
 
-KILLER = b"crash"
+CRASHING_BODY = b"crash"
 
 
 @dataclass
@@ -53,7 +53,7 @@
     random: Random = field(default_factory=lambda: Random(SEED))
     numbers: Iterator[int] = field(default_factory=count)
 
-    async def ask(
+    async def send(
         self, body: bytes, entry: Entry | None = None
     ) -> tuple[int, dict[str, str], bytes]:
         """Send a request under a new id, and return status, headers and body."""
@@ -83,11 +83,11 @@
         """Repeat the request at random nodes, and return the answers."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        asked = []
+        tasks = []
         while loop.time() < until:
-            asked.append(asyncio.create_task(self.ask(KILLER)))
+            tasks.append(asyncio.create_task(self.send(CRASHING_BODY)))
             await asyncio.sleep(0.1)
-        return list(await asyncio.gather(*asked))
+        return list(await asyncio.gather(*tasks))
 
     @property
     def crashes(self) -> list[float]:
@@ -98,12 +98,12 @@
         """Return how often the request that crashes endpoints reached one after a time."""
         return sum(at > after for each in self.endpoints for at in each.begun_at)
 
-    async def wait_crashes(self, wanted: int) -> float:
+    async def wait_for_crashes(self, wanted: int) -> float:
         """Repeat the request until so many endpoints have crashed, and return when the last did."""
         pending: set[asyncio.Task[object]] = set()
         async with asyncio.timeout(30):
             while len(self.crashes) < wanted:
-                pending.add(asyncio.create_task(self.ask(KILLER)))
+                pending.add(asyncio.create_task(self.send(CRASHING_BODY)))
                 await asyncio.sleep(0.1)
         await asyncio.gather(*pending)
         return self.crashes[wanted - 1]
@@ -117,7 +117,7 @@
         client = await stack.enter_async_context(ClientSession())
         endpoints = [
             CrashingEndpoint(
-                answers=[stream_answer(b"id: 0\n\n")] * 1000, store=store, name=f"i{n}"
+                answers=[stream_response(b"id: 0\n\n")] * 1000, store=store, name=f"i{n}"
             )
             for n in range(ENDPOINT_COUNT)
         ]
@@ -175,9 +175,7 @@
 
 
 @pytest.mark.parametrize("sign", list(CrashSign))
-async def test_request_that_crashes_endpoints_reaches_no_more_of_them(
-    fleet: Fleet, sign: CrashSign
-) -> None:
+async def test_crashing_request_is_quarantined(fleet: Fleet, sign: CrashSign) -> None:
     """Three endpoints fall; then repeats at any node are answered without being sent.
 
     The crash shows as a reset, as a stream cut short or as silence. Repeats come ten times a
@@ -189,39 +187,37 @@
 
 
 @pytest.mark.parametrize("sign", list(CrashSign))
-async def test_unsafe_call_that_crashes_endpoints_reaches_no_more_of_them(
-    fleet: Fleet, sign: CrashSign
-) -> None:
+async def test_crashing_unsafe_call_is_quarantined(fleet: Fleet, sign: CrashSign) -> None:
     """The same with a call that may be sent once only; its silence is borne to its deadline."""
     fleet.path = "/once/x"
     for each in fleet.endpoints:
         each.sign = sign
-        each.answers = [whole_answer(b"ok")] * 1000
+        each.answers = [full_response(b"ok")] * 1000
     await _repeat_beside_others(fleet)
 
 
 async def _repeat_beside_others(fleet: Fleet) -> None:
     """Crash three endpoints, go on repeating, and check who is sent and who is served."""
-    third = await fleet.wait_crashes(CRASHES)
+    third = await fleet.wait_for_crashes(CRASHES)
     loop = asyncio.get_running_loop()
     statuses = []
     repeats = []
-    while loop.time() < third + SETTLE_SECONDS + REPEATS_SECONDS:
-        repeats.append(asyncio.create_task(fleet.ask(KILLER)))
-        status, _, _ = await fleet.ask(b"harmless %d" % fleet.random.randrange(1000))
+    while loop.time() < third + SETTLE_SECONDS + REPEAT_SECONDS:
+        repeats.append(asyncio.create_task(fleet.send(CRASHING_BODY)))
+        status, _, _ = await fleet.send(b"harmless %d" % fleet.random.randrange(1000))
         statuses.append(status)
         await asyncio.sleep(0.1)
     await asyncio.gather(*repeats)
-    assert fleet.count_sent(third + SETTLE_SECONDS) <= MOST_AFTERWARDS
+    assert fleet.count_sent(third + SETTLE_SECONDS) <= MAX_SENT_AFTERWARDS
     assert set(statuses[-5:]) == {200}
 
 
-async def test_hold_outlives_every_entry_node(fleet: Fleet) -> None:
+async def test_quarantine_survives_restart_of_all_entry_nodes(fleet: Fleet) -> None:
     """All entry nodes are killed at once and start again; the request is still held back.
 
     Without the store's word, each start would cost three more endpoints.
     """
-    third = await fleet.wait_crashes(CRASHES)
+    third = await fleet.wait_for_crashes(CRASHES)
     await _wait_stored(fleet)
     await fleet.kill(*range(ENTRY_COUNT))
     await asyncio.sleep(SETTLE_SECONDS)
@@ -237,25 +233,25 @@
             await asyncio.sleep(0.05)
 
 
-async def test_nodes_tell_one_another_while_the_store_and_a_relay_are_away(fleet: Fleet) -> None:
+async def test_crashes_spread_without_the_store_and_a_relay(fleet: Fleet) -> None:
     """The store refuses everyone, and a node that may relay for the others dies with the crash."""
-    await fleet.wait_crashes(CRASHES - 1)
+    await fleet.wait_for_crashes(CRASHES - 1)
     fleet.store.refuse = True
-    third = await fleet.wait_crashes(CRASHES)
+    third = await fleet.wait_for_crashes(CRASHES)
     fleet.entries[0].process.kill()
     others = fleet.entries[1:]
     fleet.entries = others
     await asyncio.sleep(SETTLE_SECONDS)
     before = fleet.count_sent(third)
     await fleet.repeat(2.0)
-    assert fleet.count_sent(third) - before <= MOST_AFTERWARDS
+    assert fleet.count_sent(third) - before <= MAX_SENT_AFTERWARDS
 
 
-async def test_callers_of_a_held_content_are_told_and_an_operator_lifts_it(fleet: Fleet) -> None:
+async def test_quarantined_content_is_refused_until_an_operator_lifts_it(fleet: Fleet) -> None:
     """Each repeat gets its own answer at once; after the lift it is sent again, at any node."""
-    await fleet.wait_crashes(CRASHES)
+    await fleet.wait_for_crashes(CRASHES)
     await asyncio.sleep(1.0)
-    status, headers, body = await fleet.ask(KILLER, fleet.entries[2])
+    status, headers, body = await fleet.send(CRASHING_BODY, fleet.entries[2])
     assert (status, body) == (503, b"hold: 3 endpoints fell under this request\n")
     assert 50.0 < float(headers["Retry-After"]) <= 60.0
     node = fleet.entries[0].settings
@@ -267,36 +263,36 @@
     for each in fleet.endpoints:
         each.crash_on = b"no longer"
     async with asyncio.timeout(5):
-        while (await fleet.ask(KILLER, fleet.entries[2]))[0] != 200:
+        while (await fleet.send(CRASHING_BODY, fleet.entries[2]))[0] != 200:
             await asyncio.sleep(0.1)
 
 
-async def test_polls_in_progress_where_a_rack_falls_are_served_on(fleet: Fleet) -> None:
+async def test_power_loss_of_a_rack_quarantines_no_polls(fleet: Fleet) -> None:
     """Half of the endpoints lose power at once while many callers poll the same path.
 
     Each of them has the poll in progress. It crashed none, and is not held back at any node.
     """
-    answer = stream_answer(b"id: 0\n\n", b"id: 1\n\n", b"id: 2\n\n")
+    answer = stream_response(b"id: 0\n\n", b"id: 1\n\n", b"id: 2\n\n")
     for each in fleet.endpoints:
         each.answers = [answer] * 1000
         each.pause = 0.05
     statuses = []
-    falls = []
+    outages = []
     for turn in range(40):
-        asked = [asyncio.create_task(fleet.ask(b"poll", node)) for node in fleet.entries * 4]
+        tasks = [asyncio.create_task(fleet.send(b"poll", node)) for node in fleet.entries * 4]
         await asyncio.sleep(0.05)
         if turn == 10:
-            falls = [asyncio.create_task(each.fall()) for each in fleet.endpoints[::2]]
-        statuses += [(await each)[0] for each in asked]
-    await asyncio.gather(*falls)
+            outages = [asyncio.create_task(each.lose_power()) for each in fleet.endpoints[::2]]
+        statuses += [(await each)[0] for each in tasks]
+    await asyncio.gather(*outages)
     assert set(statuses[-60:]) == {200}
-    seen = 0.0
+    failures = 0.0
     for entry in fleet.entries:
         counts = await _read_metrics(entry)
         assert counts["wrenloft_held_back_total"] == 0.0
         assert counts["wrenloft_contents_held"] == 0.0
-        seen += counts.get('wrenloft_endpoint_failures_total{sign="refused"}', 0.0)
-    assert seen >= CRASHES
+        failures += counts.get('wrenloft_endpoint_failures_total{sign="refused"}', 0.0)
+    assert failures >= CRASHES
 
 
 async def _read_metrics(entry: Entry) -> dict[str, float]:
@@ -307,12 +303,12 @@
     return {name: float(value) for name, _, value in rows}
 
 
-async def test_command_lists_what_is_held_back_and_lifts_it(fleet: Fleet) -> None:
+async def test_command_lists_and_lifts_quarantines(fleet: Fleet) -> None:
     """An operator at any host; a lift of what is not held back fails with a clear error."""
     node = fleet.entries[1].settings
     address = f"{node['ip']}:{node['internal_port']}"
     assert await run_command("held", "list", "--node", address) == (0, "nothing is held back")
-    await fleet.wait_crashes(CRASHES)
+    await fleet.wait_for_crashes(CRASHES)
     await asyncio.sleep(1.0)
     code, line = await run_command("held", "list", "--node", address)
     assert code == 0, line
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -19,8 +19,8 @@
     StandinEndpoint,
     StandinStore,
     find_free_port,
-    stream_answer,
-    whole_answer,
+    full_response,
+    stream_response,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -107,7 +107,7 @@
     settings: dict[str, Any]
     client: ClientSession
 
-    async def ask(self, path: str, **options: Any) -> tuple[int, bytes]:
+    async def send(self, path: str, **options: Any) -> tuple[int, bytes]:
         """Send one request to the front."""
         headers = {"Host": "shop.example", "X-Attempt-Id": "r1", **options.pop("headers", {})}
         url = f"http://{self.settings['front']}{path}"
@@ -168,30 +168,30 @@
     ) -> None:
         """The endpoint gets the organisation's name and never the key."""
         async with asyncio.timeout(10):
-            while (answer := await entry.ask("/once/x", headers=KEY, data=b"b"))[0] == 503:
+            while (answer := await entry.send("/once/x", headers=KEY, data=b"b"))[0] == 503:
                 await asyncio.sleep(0.1)
         assert answer == (200, b"ok")
         assert endpoint.received[-1].headers["x-tenant"] == "org1"
         assert "authorization" not in endpoint.received[-1].headers
 
-    async def test_refuses_what_the_configuration_does_not_allow(
+    async def test_rejects_unknown_route_unknown_key_and_large_body(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
         """Unknown route, unknown key and a body beyond the limit get their own answers."""
-        assert (await entry.ask("/none/x", headers=KEY))[0] == 404
-        assert (await entry.ask("/once/x", headers={"Authorization": "Bearer old"}))[0] == 401
-        assert (await entry.ask("/once/x", headers=KEY, data=b"x" * 1001))[0] == 413
+        assert (await entry.send("/none/x", headers=KEY))[0] == 404
+        assert (await entry.send("/once/x", headers={"Authorization": "Bearer old"}))[0] == 401
+        assert (await entry.send("/once/x", headers=KEY, data=b"x" * 1001))[0] == 413
         assert not endpoint.received
 
-    async def test_key_taken_away_is_refused(self, entry: Entry, store: StandinStore) -> None:
+    async def test_revoked_key_is_refused(self, entry: Entry, store: StandinStore) -> None:
         """A new configuration without a key is in force soon after the store took it."""
         changed = {**CONFIGURATION, "version": 9, "tenants": [{"name": "org1", "apiKeys": ["k2"]}]}
         store.put("op/config", changed)
         async with asyncio.timeout(5):
-            while (await entry.ask("/once/x", headers=KEY))[0] != 401:
+            while (await entry.send("/once/x", headers=KEY))[0] != 401:
                 await asyncio.sleep(0.05)
 
-    async def test_store_that_turns_away_ends_keys_but_not_public_routes(
+    async def test_store_outage_expires_keys_but_not_public_routes(
         self, entry: Entry, store: StandinStore, endpoint: StandinEndpoint
     ) -> None:
         """Without proof that a key is still good, its requests get 503; public ones are served.
@@ -200,13 +200,13 @@
         """
         store.refuse = True
         async with asyncio.timeout(15):
-            while (await entry.ask("/once/x", headers=KEY))[0] != 503:
+            while (await entry.send("/once/x", headers=KEY))[0] != 503:
                 await asyncio.sleep(0.1)
-        endpoint.answers = [stream_answer(b"id: 0\n\n")]
-        assert (await entry.ask("/stream/x"))[0] == 200
+        endpoint.answers = [stream_response(b"id: 0\n\n")]
+        assert (await entry.send("/stream/x"))[0] == 200
         assert await entry.get_status("readiness", "/readyz") == 503
 
-    async def test_names_itself_to_callers(self, entry: Entry) -> None:
+    async def test_directory_returns_this_node(self, entry: Entry) -> None:
         """A caller that asks where to connect gets this node and a time to keep the answer."""
         url = f"http://{entry.settings['directory']}/resolution?name=x&region=r1&zone=z1"
         async with entry.client.get(url) as response:
@@ -214,7 +214,7 @@
         assert answer["addresses"] == [entry.settings["front"]]
         assert 0 < answer["ttlS"] <= 5
 
-    async def test_stop_cuts_no_stream(
+    async def test_drain_completes_open_streams(
         self, entry: Entry, endpoint: StandinEndpoint, store: StandinStore
     ) -> None:
         """A stream that runs when the signal comes reaches its caller whole.
@@ -222,8 +222,8 @@
         The node is out of the directory and unready at once, and ends by itself.
         """
         endpoint.pause = 0.6
-        endpoint.answers = [stream_answer(*(b"id: %d\n\n" % n for n in range(4)))]
-        stream = asyncio.create_task(entry.ask("/stream/x"))
+        endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(4)))]
+        stream = asyncio.create_task(entry.send("/stream/x"))
         async with asyncio.timeout(5):
             while not endpoint.received:
                 await asyncio.sleep(0.02)
@@ -235,7 +235,7 @@
             assert await entry.process.wait() == 0
         assert not any(key.startswith("wrenloft/entry/") for key in store.items)
 
-    async def test_late_request_during_a_stop_is_refused_as_not_run(
+    async def test_request_late_in_the_drain_is_refused_as_not_run(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
         """A request that could not end within the grace time is not begun.
@@ -244,8 +244,8 @@
         begun, it would be cut when the process ends.
         """
         endpoint.pause = 0.9
-        endpoint.answers = [stream_answer(*(b"id: %d\n\n" % n for n in range(5)))]
-        stream = asyncio.create_task(entry.ask("/stream/x"))
+        endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(5)))]
+        stream = asyncio.create_task(entry.send("/stream/x"))
         host, _, port = entry.settings["front"].partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         entry.process.send_signal(signal.SIGTERM)
@@ -256,7 +256,7 @@
         assert (await stream)[0] == 200
         assert len(endpoint.received) == 1
 
-    async def test_caller_that_leaves_ends_the_work(
+    async def test_disconnect_of_the_caller_cancels_the_request(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
         """The endpoint's connection closes soon after the caller's.
@@ -264,15 +264,15 @@
         The stream would have gone on for twenty seconds.
         """
         endpoint.pause = 0.2
-        endpoint.answers = [stream_answer(*(b"id: %d\n\n" % n for n in range(100)))]
+        endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(100)))]
         with pytest.raises((TimeoutError, ClientError)):
             async with asyncio.timeout(1.0):
-                await entry.ask("/stream/x")
+                await entry.send("/stream/x")
         async with asyncio.timeout(2.0):
-            while not endpoint.left:
+            while not endpoint.disconnects:
                 await asyncio.sleep(0.05)
 
-    async def test_bad_settings_on_reload_change_nothing(
+    async def test_malformed_settings_on_reload_are_ignored(
         self, entry: Entry, tmp_path: Path
     ) -> None:
         """A file that became malformed is refused with a log line; the node serves on."""
@@ -283,7 +283,7 @@
 
     async def test_logs_one_line_per_decision(self, entry: Entry) -> None:
         """The outcome of a request can be found in the logs by its id."""
-        await entry.ask("/none/x", headers={"X-Attempt-Id": "find-me"})
+        await entry.send("/none/x", headers={"X-Attempt-Id": "find-me"})
         await asyncio.sleep(0.6)
         entry.process.kill()
         out, _ = await entry.process.communicate()
@@ -316,4 +316,4 @@
     import platform
 
     assert platform.system()
-    assert whole_answer(b"")
+    assert full_response(b"")
--- a/tests/platform/test_ranges.py
+++ b/tests/platform/test_ranges.py
@@ -6,7 +6,7 @@
 from aiohttp import ClientSession
 
 from wrenloft_core import read_clock
-from wrenloft_platform._ranges import LARGE_ITEMS, RangeReader
+from wrenloft_platform._ranges import LARGE_RANGE_ITEMS, RangeReader
 from wrenloft_platform._store import StoreClient
 from wrenloft_routing import Reading, Taken
 
@@ -21,17 +21,17 @@
     return RangeReader(StoreClient(session, store.address), PREFIX)
 
 
-def take(reading: Reading) -> Taken:
+def as_taken(snapshot: Reading) -> Taken:
     """Return a reading as a node has it."""
-    return Taken(reading, read_clock(), True)
+    return Taken(snapshot, read_clock(), True)
 
 
-def show(reading: Reading) -> dict[str, int]:
+def get_revisions(snapshot: Reading) -> dict[str, int]:
     """Return the revision of each key."""
-    return reading.list_revisions()
+    return snapshot.list_revisions()
 
 
-def fill(store: StandinStore, count: int) -> None:
+def add_endpoints(store: StandinStore, count: int) -> None:
     """List endpoints."""
     for number in range(count):
         store.put(f"{PREFIX}{number:04}", number)
@@ -40,15 +40,17 @@
 class TestRangeReader:
     """Tests for ``RangeReader``."""
 
-    async def test_few_are_read_whole(self, reader: RangeReader, store: StandinStore) -> None:
+    async def test_small_range_is_read_in_full(
+        self, reader: RangeReader, store: StandinStore
+    ) -> None:
         """One page costs one call, and needs no history."""
-        fill(store, 20)
-        known = take(await reader.read(None))
+        add_endpoints(store, 20)
+        known = as_taken(await reader.read(None))
         store.remove(f"{PREFIX}0003")
         await reader.read(known)
         assert store.calls == ["GET /kv-range"] * 2
 
-    async def test_many_are_read_by_what_has_changed(
+    async def test_large_range_is_read_by_its_changes(
         self, reader: RangeReader, store: StandinStore
     ) -> None:
         """An endpoint leaves among 3,000: the reader hears of it by one call and a few bytes.
@@ -56,29 +58,29 @@
         Read whole by several nodes across regions, the list filled the links between them, and
         the word of leaving came seconds late.
         """
-        fill(store, 3000)
-        known = take(await reader.read(None))
+        add_endpoints(store, 3000)
+        known = as_taken(await reader.read(None))
         store.calls.clear()
         store.remove(f"{PREFIX}0003")
         store.put(f"{PREFIX}0004", "draining")
         store.put("other/1", 1)
-        reading = await reader.read(known)
+        snapshot = await reader.read(known)
         assert store.calls == ["GET /kv-watch"]
-        assert show(reading) == {
+        assert get_revisions(snapshot) == {
             key: item["revision"] for key, item in store.items.items() if key.startswith(PREFIX)
         }
-        assert reading.revision == store.revision
+        assert snapshot.revision == store.revision
 
-    async def test_lost_history_is_read_whole(
+    async def test_compacted_history_causes_a_full_read(
         self, reader: RangeReader, store: StandinStore
     ) -> None:
         """The store forgot what has changed: nothing is missed."""
-        fill(store, LARGE_ITEMS + 1)
-        known = take(await reader.read(None))
+        add_endpoints(store, LARGE_RANGE_ITEMS + 1)
+        known = as_taken(await reader.read(None))
         store.remove(f"{PREFIX}0003")
-        store.forgotten = store.revision
-        reading = await reader.read(known)
-        assert f"{PREFIX}0003" not in show(reading)
+        store.compacted = store.revision
+        snapshot = await reader.read(known)
+        assert f"{PREFIX}0003" not in get_revisions(snapshot)
 
     @pytest.mark.parametrize("seed", range(10))
     async def test_changes_between_pages_are_not_missed(
@@ -90,12 +92,12 @@
         """
         random = Random(seed)
         store.page = 100
-        fill(store, LARGE_ITEMS + 100)
-        whole = store.build_page
+        add_endpoints(store, LARGE_RANGE_ITEMS + 100)
+        build_page = store.build_page
 
         def change_and_build(prefix: str, after: str) -> dict[str, object]:
-            page = whole(prefix, after)
-            key = f"{PREFIX}{random.randrange(LARGE_ITEMS):04}"
+            page = build_page(prefix, after)
+            key = f"{PREFIX}{random.randrange(LARGE_RANGE_ITEMS):04}"
             if key in store.items and random.random() < 0.5:
                 store.remove(key)
             else:
@@ -103,7 +105,9 @@
             return page
 
         store.build_page = change_and_build  # type: ignore[method-assign]
-        known = take(await reader.read(None))
-        store.build_page = whole  # type: ignore[method-assign]
-        reading = await reader.read(known)
-        assert show(reading) == {key: item["revision"] for key, item in store.items.items()}
+        known = as_taken(await reader.read(None))
+        store.build_page = build_page  # type: ignore[method-assign]
+        snapshot = await reader.read(known)
+        assert get_revisions(snapshot) == {
+            key: item["revision"] for key, item in store.items.items()
+        }
--- a/tests/platform/test_rate_limits.py
+++ b/tests/platform/test_rate_limits.py
@@ -19,7 +19,7 @@
 
 SEED = 7
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
+PROPAGATION_SECONDS = 0.5
 """From the first answer with a limit until every node must keep to it."""
 
 SETTLE_SECONDS = 3.0
@@ -39,7 +39,7 @@
     random: Random = field(default_factory=lambda: Random(SEED))
     numbers: Iterator[int] = field(default_factory=count)
 
-    async def ask(self, path: str = "/stream/x", entry: Entry | None = None) -> tuple[int, str]:
+    async def send(self, path: str = "/stream/x", entry: Entry | None = None) -> tuple[int, str]:
         """Send a request and return its status and when to come back."""
         node = entry or self.random.choice(self.entries)
         headers = {"Host": "shop.example", "X-Attempt-Id": f"r{next(self.numbers)}"}
@@ -58,14 +58,14 @@
         """Send so many requests a second at random nodes, or at one."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        asked = []
+        tasks = []
         while loop.time() < until:
-            asked.append(asyncio.create_task(self.ask(entry=entry)))
+            tasks.append(asyncio.create_task(self.send(entry=entry)))
             await asyncio.sleep(self.random.expovariate(rate))
-        return list(await asyncio.gather(*asked))
+        return list(await asyncio.gather(*tasks))
 
 
-def most_allowed(limit: float) -> int:
+def max_allowed(limit: float) -> int:
     """Return the requests that an endpoint may get in any window."""
     return int(1.5 * limit * WINDOW_SECONDS + 5)
 
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("limit", [0.2, 1.8])
-async def test_limited_endpoint_gets_no_more_from_all_nodes_than_it_named(
+async def test_all_nodes_together_keep_to_the_limit_of_an_endpoint(
     fleet: Fleet, limit: float
 ) -> None:
     """Guards against nodes that send to an endpoint in need as if it had named no limit."""
@@ -99,7 +99,7 @@
     named_at = asyncio.get_running_loop().time()
     answers = await fleet.load(16.0, SETTLE_SECONDS + 2 * WINDOW_SECONDS)
     since = named_at + SETTLE_SECONDS
-    assert limited.count_most(WINDOW_SECONDS, named_at + TOLD_SECONDS) <= most_allowed(limit)
+    assert limited.count_peak(WINDOW_SECONDS, named_at + PROPAGATION_SECONDS) <= max_allowed(limit)
     until = asyncio.get_running_loop().time()
     assert limited.count_between(since, until) >= int(USED_SHARE * limit * (until - since))
     assert {status for status, _ in answers} == {200}
@@ -114,7 +114,7 @@
         return limits
 
 
-async def wait_limits(fleet: Fleet, expected: dict[str, float]) -> list[dict[str, Any]]:
+async def wait_for_limits(fleet: Fleet, expected: dict[str, float]) -> list[dict[str, Any]]:
     """Have callers come until every node knows these limits, by endpoint, and no others."""
     async with asyncio.timeout(30):
         while True:
@@ -124,38 +124,38 @@
                 return known[0]
 
 
-async def test_every_node_learns_of_a_limit_of_its_change_and_of_its_end(fleet: Fleet) -> None:
+async def test_every_node_applies_a_limit_its_changes_and_its_removal(fleet: Fleet) -> None:
     """Guards against nodes that keep to what a limit was, or to one that has ended."""
     limited = fleet.endpoints[0]
     for text, rate in (("5", 5.0), ("1.8", 1.8), ("20", 20.0)):
         limited.limit = text
-        await wait_limits(fleet, {"i-0": rate})
+        await wait_for_limits(fleet, {"i-0": rate})
     limited.limit = None
-    await wait_limits(fleet, {})
+    await wait_for_limits(fleet, {})
 
 
-async def test_callers_beyond_the_limits_are_told_when_to_return(fleet: Fleet) -> None:
+async def test_callers_beyond_the_limits_get_retry_after(fleet: Fleet) -> None:
     """Guards against callers that wait for a turn they cannot have, or all return at once."""
     for each in fleet.endpoints:
         each.limit = "0.5"
-    await wait_limits(fleet, {"i-0": 0.5, "i-1": 0.5})
-    told_at = asyncio.get_running_loop().time()
+    await wait_for_limits(fleet, {"i-0": 0.5, "i-1": 0.5})
+    limited_at = asyncio.get_running_loop().time()
     answers = await fleet.load(16.0, 2 * WINDOW_SECONDS)
     for each in fleet.endpoints:
-        assert each.count_most(WINDOW_SECONDS, told_at) <= most_allowed(0.5)
-    returns = [float(after) for status, after in answers if status == 503]
+        assert each.count_peak(WINDOW_SECONDS, limited_at) <= max_allowed(0.5)
+    retry_delays = [float(after) for status, after in answers if status == 503]
     assert {status for status, _ in answers} == {200, 503}
-    assert min(returns) > 0
-    assert len(set(returns)) > 0.75 * len(returns)
+    assert min(retry_delays) > 0
+    assert len(set(retry_delays)) > 0.75 * len(retry_delays)
 
 
 @pytest.mark.parametrize("fault", ["killed", "stopped"])
-async def test_limiter_that_fails_is_replaced(fleet: Fleet, fault: str) -> None:
+async def test_failed_limiter_is_replaced(fleet: Fleet, fault: str) -> None:
     """Guards against a limit that nobody grants any more, and against one granted twice."""
     limited = fleet.endpoints[0]
     limited.limit = "1.8"
-    (row,) = await wait_limits(fleet, {"i-0": 1.8})
-    told_at = asyncio.get_running_loop().time()
+    (row,) = await wait_for_limits(fleet, {"i-0": 1.8})
+    limited_at = asyncio.get_running_loop().time()
     limiter = next(each for each in fleet.entries if each.settings["name"] == row["limiter"])
     other = next(each for each in fleet.entries if each is not limiter)
     limiter.process.send_signal(signal.SIGKILL if fault == "killed" else signal.SIGSTOP)
@@ -165,21 +165,21 @@
         limiter.process.send_signal(signal.SIGCONT)
     await fleet.load(16.0, 2 * WINDOW_SECONDS, other)
     until = asyncio.get_running_loop().time()
-    assert limited.count_most(WINDOW_SECONDS, told_at) <= most_allowed(1.8)
+    assert limited.count_peak(WINDOW_SECONDS, limited_at) <= max_allowed(1.8)
     assert limited.count_between(replaced_at, until) >= int(
         USED_SHARE * 1.8 * (until - replaced_at)
     )
 
 
-async def test_requests_are_served_while_the_store_is_away(fleet: Fleet, store: Any) -> None:
+async def test_limits_hold_while_the_store_is_down(fleet: Fleet, store: Any) -> None:
     """Guards against limits that are kept to only as long as the store is reached."""
     limited = fleet.endpoints[0]
     store.refuse = True
     limited.limit = "1.8"
-    await wait_limits(fleet, {"i-0": 1.8})
-    told_at = asyncio.get_running_loop().time()
+    await wait_for_limits(fleet, {"i-0": 1.8})
+    limited_at = asyncio.get_running_loop().time()
     await fleet.load(16.0, WINDOW_SECONDS)
-    assert limited.count_most(WINDOW_SECONDS, told_at) <= most_allowed(1.8)
+    assert limited.count_peak(WINDOW_SECONDS, limited_at) <= max_allowed(1.8)
 
 
 async def test_command_lists_the_limits(fleet: Fleet) -> None:
@@ -188,7 +188,7 @@
     expected = (0, "no endpoint names a rate limit")
     assert await run_command("limits", "list", "--node", address) == expected
     fleet.endpoints[0].limit = "1.8"
-    await wait_limits(fleet, {"i-0": 1.8})
+    await wait_for_limits(fleet, {"i-0": 1.8})
     code, line = await run_command("limits", "list", "--node", address)
     assert code == 0, line
     assert line.startswith("i-0  1.8 requests a second for ")
--- a/tests/platform/test_relay_tracker.py
+++ b/tests/platform/test_relay_tracker.py
@@ -8,7 +8,7 @@
 
 from wrenloft_core import PlaceName, read_clock
 from wrenloft_platform import _relay_tracker
-from wrenloft_platform._relay_tracker import FED_SECONDS, Feed
+from wrenloft_platform._relay_tracker import UPDATE_TTL_SECONDS, RelayTracker
 from wrenloft_platform._store import StoreClient
 
 from .conftest import StandinStore
@@ -17,16 +17,16 @@
 
 
 @pytest.fixture
-def feed(session: ClientSession, store: StandinStore) -> Feed:
+def tracker(session: ClientSession, store: StandinStore) -> RelayTracker:
     """Return a feed over the stand-in."""
-    return Feed(StoreClient(session, store.address), PlaceName("z1"), Random(1))
+    return RelayTracker(StoreClient(session, store.address), PlaceName("z1"), Random(1))
 
 
-class TestFeed:
-    """Tests for ``Feed``."""
+class TestRelayTracker:
+    """Tests for ``RelayTracker``."""
 
-    async def test_lists_nothing_while_the_store_answers_nothing(
-        self, feed: Feed, store: StandinStore, monkeypatch
+    async def test_lists_nothing_until_the_seed_key_is_read(
+        self, tracker: RelayTracker, store: StandinStore, monkeypatch
     ) -> None:
         """Links between regions are full: the question for the seed gets no answer.
 
@@ -34,36 +34,36 @@
         """
         monkeypatch.setattr(_relay_tracker, "RETRY_SECONDS", 0.01)
         store.refuse = True
-        asking = asyncio.create_task(feed.find_seed())
+        search = asyncio.create_task(tracker.find_seed())
         async with asyncio.timeout(5):
             while len(store.calls) < 3:
                 await asyncio.sleep(0.01)
-        assert not feed.may_list
+        assert not tracker.can_list
         store.refuse = False
         store.put(KEY, {"internal": "h1:1", "large": False})
-        await asking
-        assert feed.relay == "h1:1"
-        assert feed.is_fed  # it waits for the seed for a moment
+        await search
+        assert tracker.relay == "h1:1"
+        assert tracker.is_current  # it waits for the seed for a moment
 
     @pytest.mark.parametrize("large", [False, True])
     async def test_agents_of_a_large_fleet_wait_longer(
-        self, feed: Feed, store: StandinStore, large: bool
+        self, tracker: RelayTracker, store: StandinStore, large: bool
     ) -> None:
         """The zone's relay is lost: in a small fleet the store is asked at once, in a large one
         each agent waits for a time of its own, or all would list thousands of endpoints together.
         """
         store.put(KEY, {"internal": "h1:1", "large": large})
-        await feed.find_seed()
-        feed._told_until = read_clock() - 0.01
-        assert feed.may_list is not large
+        await tracker.find_seed()
+        tracker._current_until = read_clock() - 0.01
+        assert tracker.can_list is not large
 
-    async def test_relay_that_is_lost_is_asked_last(self, feed: Feed) -> None:
+    async def test_lost_relay_is_tried_last(self, tracker: RelayTracker) -> None:
         """Two entry nodes have followed the agent; the later one dies."""
-        feed.record_relay("h1:1")
-        feed.record_relay("h2:1")
-        feed.leave("h2:1")
-        assert feed.relay == "h1:1"
-        feed.record_told(read_clock())
-        assert feed.is_fed
-        feed._told_until -= FED_SECONDS
-        assert not feed.is_fed
+        tracker.record_relay("h1:1")
+        tracker.record_relay("h2:1")
+        tracker.demote_relay("h2:1")
+        assert tracker.relay == "h1:1"
+        tracker.record_update(read_clock())
+        assert tracker.is_current
+        tracker._current_until -= UPDATE_TTL_SECONDS
+        assert not tracker.is_current
--- a/tests/platform/test_runner.py
+++ b/tests/platform/test_runner.py
@@ -9,7 +9,7 @@
 from aiohttp import ClientSession
 
 from wrenloft_core import AgentId, OrganisationName, PlaceName, RegionName, RequestId, ServiceName
-from wrenloft_platform._runner import RunnerReply, RunnerTransport, read_named_limit
+from wrenloft_platform._runner import RunnerReply, RunnerTransport, parse_named_limit
 from wrenloft_policy import LayerSpan
 from wrenloft_routing import (
     Attempt,
@@ -23,7 +23,7 @@
     ReplyBrokenError,
 )
 
-from .conftest import StandinEndpoint, stream_answer, whole_answer
+from .conftest import StandinEndpoint, full_response, stream_response
 
 
 def _attempt(address: str, method: str = "POST", **changes: Any) -> Attempt:
@@ -96,12 +96,12 @@
         path = endpoint.received[0].headers["path"]
         assert path == f"{endpoint.address}=0-8,10.0.0.2:80=8-16"
 
-    async def test_refusal_by_a_later_engine_names_it(
+    async def test_rejection_by_a_later_engine_names_that_engine(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
         """The first engine is sound; put down to it, half of the engines would be avoided."""
         endpoint.answers = [
-            whole_answer(
+            full_response(
                 b"", "503 Service Unavailable", b"X-Not-Executed: 1\r\nAt-Server: 10.0.0.2:80\r\n"
             )
         ]
@@ -115,7 +115,7 @@
         assert isinstance(result, NotSent)
 
     @pytest.mark.parametrize("method", ["GET", "POST", "PUT", "DELETE"])
-    async def test_closed_kept_connection_is_lost_and_sent_once(
+    async def test_request_on_a_closed_kept_alive_connection_is_sent_once(
         self, session: ClientSession, endpoint: StandinEndpoint, method: str
     ) -> None:
         """A kept connection closes under a request: it may have run, and is not sent again.
@@ -123,7 +123,7 @@
         The first request leaves the connection open; the endpoint reads the second and closes
         without an answer. The client library would repeat some methods by itself.
         """
-        endpoint.answers = [whole_answer(b"ok"), None]
+        endpoint.answers = [full_response(b"ok"), None]
         request = _attempt(endpoint.address, method)
         transport = RunnerTransport(session)
         first = await transport.open(request)
@@ -138,10 +138,10 @@
     ) -> None:
         """A full endpoint and one that is somebody else both did not run the request."""
         endpoint.answers = [
-            whole_answer(
+            full_response(
                 b"", "503 Service Unavailable", b"X-Not-Executed: 1\r\nX-Instance-Load: 4,2,4\r\n"
             ),
-            whole_answer(b"", "421 Misdirected Request"),
+            full_response(b"", "421 Misdirected Request"),
         ]
         full = await _open(session, endpoint)
         other = await _open(session, endpoint)
@@ -150,22 +150,22 @@
         assert isinstance(other, Rejected)
         assert other.mistaken
 
-    async def test_503_without_the_mark_is_an_answer(
+    async def test_503_without_not_executed_header_is_a_reply(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
         """Only the endpoint's own word says that a request did not run."""
-        endpoint.answers = [whole_answer(b"", "503 Service Unavailable")]
+        endpoint.answers = [full_response(b"", "503 Service Unavailable")]
         assert isinstance(await _open(session, endpoint), RunnerReply)
 
     @pytest.mark.parametrize(
         "answer",
         [
-            whole_answer(b"ok").replace(b"{id}", b"another"),
-            whole_answer(b"ok").replace(b"X-Response-Stamp: s1\r\n", b""),
-            whole_answer(b"ok", extra=b"Content-Encoding: gzip\r\n"),
+            full_response(b"ok").replace(b"{id}", b"another"),
+            full_response(b"ok").replace(b"X-Response-Stamp: s1\r\n", b""),
+            full_response(b"ok", extra=b"Content-Encoding: gzip\r\n"),
         ],
     )
-    async def test_foreign_answers_are_not_genuine(
+    async def test_mismatched_responses_are_not_genuine(
         self, session: ClientSession, endpoint: StandinEndpoint, answer: bytes
     ) -> None:
         """An answer of another request, unsigned or re-encoded is never passed on."""
@@ -173,15 +173,15 @@
         reply = await _open(session, endpoint)
         assert not reply.genuine
 
-    async def test_extra_answer_is_not_taken_for_the_next(
+    async def test_extra_response_is_not_matched_to_the_next_request(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
         """A second answer waits on a kept connection when the next request is sent.
 
         Its id is the earlier request's, so it either never reaches the next or is not genuine.
         """
-        extra = whole_answer(b"late").replace(b"{id}", b"r0")
-        endpoint.answers = [whole_answer(b"ok") + extra, whole_answer(b"own")]
+        extra = full_response(b"late").replace(b"{id}", b"r0")
+        endpoint.answers = [full_response(b"ok") + extra, full_response(b"own")]
         first = await _open(session, endpoint)
         await first.read_whole()
         await first.close(reusable=True)
@@ -190,16 +190,16 @@
         if isinstance(second, RunnerReply) and second.genuine:
             assert await second.read_whole() == b"own"
 
-    async def test_cut_answer_is_broken(
+    async def test_truncated_response_raises(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
         """A body shorter than announced is not a body."""
-        endpoint.answers = [whole_answer(b"whole body").replace(b"whole body", b"who") + b"RESET"]
+        endpoint.answers = [full_response(b"whole body").replace(b"whole body", b"who") + b"RESET"]
         reply = await _open(session, endpoint)
         with pytest.raises(ReplyBrokenError):
             await reply.read_whole()
 
-    async def test_reset_is_told_once(
+    async def test_reset_is_not_logged_by_the_event_loop(
         self,
         session: ClientSession,
         endpoint: StandinEndpoint,
@@ -210,7 +210,7 @@
         Whoever reads it learns of that. Told once more by the event loop, as an error that nobody
         fetched, each reset put a stack into the log, where it hid what mattered.
         """
-        endpoint.answers = [stream_answer(b"id: 1\n\n", end=False)]
+        endpoint.answers = [stream_response(b"id: 1\n\n", end=False)]
         reply = await _open(session, endpoint)
         with pytest.raises(ReplyBrokenError):
             while await reply.read_some():
@@ -221,7 +221,7 @@
         await asyncio.sleep(0.05)
         assert "never retrieved" not in caplog.text
 
-    async def test_unframed_answer_ends_with_a_clean_close_only(
+    async def test_response_without_length_needs_a_clean_close(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
         """An answer without a length is whole after a close and broken after a reset.
@@ -229,19 +229,19 @@
         The library gives the same bytes in both cases; the caller would get half an answer that
         looks whole.
         """
-        unframed = whole_answer(b"body").replace(b"Content-Length: 4\r\n", b"")
+        unframed = full_response(b"body").replace(b"Content-Length: 4\r\n", b"")
         endpoint.answers = [unframed, unframed + b"RESET"]
-        whole = await _open(session, endpoint)
-        assert await whole.read_whole() == b"body"
+        complete = await _open(session, endpoint)
+        assert await complete.read_whole() == b"body"
         reset = await _open(session, endpoint)
         with pytest.raises(ReplyBrokenError):
             await reset.read_whole()
 
-    async def test_stream_without_its_end_is_broken(
+    async def test_stream_without_last_chunk_raises(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
         """A stream that stops before its last chunk does not end as complete."""
-        endpoint.answers = [stream_answer(b"id: 1\n\n", end=False)]
+        endpoint.answers = [stream_response(b"id: 1\n\n", end=False)]
         reply = await _open(session, endpoint)
         assert reply.is_stream
         assert await reply.read_some() == b"id: 1\n\n"
@@ -265,11 +265,11 @@
         (["soon"], None),
     ],
 )
-def test_reads_named_limits_and_what_is_none(values: list[str], rate: float | None) -> None:
-    named = read_named_limit(values)
+def test_parses_rate_limits(values: list[str], rate: float | None) -> None:
+    named = parse_named_limit(values)
     assert named is not None
     assert named.rate == rate
 
 
-def test_answer_without_the_header_names_no_limit() -> None:
-    assert read_named_limit([]) is None
+def test_response_without_the_header_has_no_limit() -> None:
+    assert parse_named_limit([]) is None
--- a/tests/platform/test_seeds.py
+++ b/tests/platform/test_seeds.py
@@ -6,7 +6,7 @@
 from aiohttp import ClientSession
 
 from wrenloft_core import PlaceName, PlatformUnavailableError
-from wrenloft_platform._seeds import Seed, Seeds
+from wrenloft_platform._seeds import Seed, SeedRegistry
 from wrenloft_platform._store import StoreClient
 
 from .conftest import StandinStore
@@ -21,10 +21,10 @@
     return StoreClient(session, store.address)
 
 
-class TestSeeds:
-    """Tests for ``Seeds``."""
+class TestSeedRegistry:
+    """Tests for ``SeedRegistry``."""
 
-    async def test_all_that_start_together_ask_the_same_node(
+    async def test_nodes_that_start_together_find_one_seed(
         self, client: StoreClient, store: StandinStore
     ) -> None:
         """A hundred nodes of a zone start at once, and nobody is known.
@@ -32,47 +32,49 @@
         One becomes the seed, all others hear its name, and none reads a list from the store: the
         lists of all that started had kept the links between regions full for half a minute.
         """
-        seeds = [Seeds(client, PLACE, f"h{number}:1") for number in range(100)]
+        seeds = [SeedRegistry(client, PLACE, f"h{number}:1") for number in range(100)]
         found = await asyncio.gather(*(each.find_or_claim() for each in seeds))
         assert len(set(found)) == 1
         assert found[0] is not None and found[0].large
         assert "GET /kv-range" not in store.calls
         assert len(store.calls) <= 3 * len(seeds)
 
-    async def test_seed_outlives_its_process(
+    async def test_seed_key_survives_its_process(
         self, client: StoreClient, store: StandinStore
     ) -> None:
         """All processes were killed: they find the same name again, and the size with it."""
         store.put(KEY, {"internal": "h1:1", "large": False})
-        assert await Seeds(client, PLACE, "h2:1").find_or_claim() == Seed("h1:1", large=False)
+        assert await SeedRegistry(client, PLACE, "h2:1").find_or_claim() == Seed(
+            "h1:1", large=False
+        )
 
-    async def test_no_answer_is_told_from_no_seed(
+    async def test_unavailable_store_is_not_taken_for_a_missing_seed(
         self, client: StoreClient, store: StandinStore
     ) -> None:
         """While the store is away a node asks again; it doesn't take itself for the first."""
         store.refuse = True
-        seeds = Seeds(client, PLACE, "h1:1")
-        for ask in (seeds.find, seeds.find_or_claim):
+        seeds = SeedRegistry(client, PLACE, "h1:1")
+        for call in (seeds.find, seeds.find_or_claim):
             with pytest.raises(PlatformUnavailableError):
-                await ask()
+                await call()
 
     @pytest.mark.parametrize("value", ["no seed", {"internal": "h1:1"}, 7, [[]]])
-    async def test_what_is_no_seed_is_none(
+    async def test_malformed_seed_is_ignored(
         self, client: StoreClient, store: StandinStore, value: object
     ) -> None:
         """Another program's word under the key costs the start a moment, not the node."""
         store.put(KEY, value)
-        assert await Seeds(client, PLACE).find() is None
+        assert await SeedRegistry(client, PLACE).find() is None
 
-    async def test_relay_takes_the_place_of_a_seed_that_is_gone(
+    async def test_relay_replaces_a_lost_seed(
         self, client: StoreClient, store: StandinStore
     ) -> None:
         """A seed that lives stays; one that is gone is replaced by the zone's relay, once."""
         store.put(KEY, {"internal": "h1:1", "large": True})
-        seeds = Seeds(client, PLACE, "h2:1")
-        seeds.take(await client.list("wrenloft/"))
-        await seeds.name(lambda address: address == "h1:1")
-        await seeds.name(lambda _: False)
-        await seeds.name(lambda _: False)
+        seeds = SeedRegistry(client, PLACE, "h2:1")
+        seeds.apply(await client.list("wrenloft/"))
+        await seeds.update(lambda address: address == "h1:1")
+        await seeds.update(lambda _: False)
+        await seeds.update(lambda _: False)
         assert await seeds.find() == Seed("h2:1", large=True)
         assert store.calls.count("POST /kv-txn") == 1
--- a/tests/platform/test_standins.py
+++ b/tests/platform/test_standins.py
@@ -6,23 +6,21 @@
 
 import pytest
 
-from .conftest import StandinEndpoint, stream_answer
+from .conftest import StandinEndpoint, stream_response
 
 
 class TestStandinEndpoint:
     """Tests for ``StandinEndpoint``."""
 
     @pytest.mark.parametrize("reset", [False, True])
-    async def test_caller_that_leaves_is_counted(
-        self, endpoint: StandinEndpoint, reset: bool
-    ) -> None:
+    async def test_disconnect_is_counted(self, endpoint: StandinEndpoint, reset: bool) -> None:
         """A caller leaves in the middle of a stream.
 
         If an event had arrived that it had not read, its system sends a reset in place of an end.
         Counted only after an end, one of some hundred runs saw no caller leave.
         """
         endpoint.pause = 0.05
-        endpoint.answers = [stream_answer(*(b"id: %d\n\n" % n for n in range(100)))]
+        endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(100)))]
         host, _, port = endpoint.address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET / HTTP/1.1\r\n\r\n")
@@ -34,6 +32,6 @@
         else:
             writer.close()
         async with asyncio.timeout(10):
-            while not endpoint.left:
+            while not endpoint.disconnects:
                 await asyncio.sleep(0.02)
-        assert endpoint.left == 1
+        assert endpoint.disconnects == 1
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -32,8 +32,8 @@
         for number in range(8):
             store.put(f"a/{number}", number)
         store.put("b/1", 0)
-        reading = await client.list("a/")
-        assert [each.key for each in reading.items] == [f"a/{number}" for number in range(8)]
+        snapshot = await client.list("a/")
+        assert [each.key for each in snapshot.items] == [f"a/{number}" for number in range(8)]
 
     async def test_watch_returns_changes_and_deletions(
         self, client: StoreClient, store: StandinStore
@@ -42,18 +42,18 @@
         at = store.put("a/1", 1)
         store.put("a/2", 2)
         store.remove("a/1")
-        reading = await client.watch("a/", at, 0.1)
-        assert [(each.key, each.value) for each in reading.items] == [("a/2", b"2"), ("a/1", None)]
+        snapshot = await client.watch("a/", at, 0.1)
+        assert [(each.key, each.value) for each in snapshot.items] == [("a/2", b"2"), ("a/1", None)]
 
-    async def test_watch_of_lost_history_says_so(
+    async def test_watch_of_compacted_history_raises(
         self, client: StoreClient, store: StandinStore
     ) -> None:
         """The reader learns that it must read everything anew, not that nothing changed."""
-        store.forgotten = 100
+        store.compacted = 100
         with pytest.raises(HistoryLostError):
             await client.watch("a/", 5, 0.1)
 
-    async def test_refusal_and_lost_answer_are_unavailable(
+    async def test_refused_call_and_lost_response_raise_the_same_error(
         self, client: StoreClient, store: StandinStore
     ) -> None:
         """The caller gets one error for a store that refuses and one that answers nothing.
@@ -64,19 +64,19 @@
         with pytest.raises(PlatformUnavailableError):
             await client.list("a/")
         store.refuse = False
-        store.lose = 1
+        store.lost_answers = 1
         with pytest.raises(PlatformUnavailableError):
             await client.put("a/1", b"1", 0)
         assert "a/1" in store.items
 
-    async def test_renewal_of_an_ended_lease_fails(
+    async def test_renewal_of_an_expired_lease_fails(
         self, client: StoreClient, store: StandinStore
     ) -> None:
         """A lease that has ended is told apart from a store that does not answer."""
-        lease = await client.grant(5.0)
-        await client.renew(lease)
+        lease = await client.grant_lease(5.0)
+        await client.renew_lease(lease)
         await client.put("a/1", b"1", lease)
-        await client.end(lease)
+        await client.end_lease(lease)
         assert "a/1" not in store.items
         with pytest.raises(ConditionFailedError):
-            await client.renew(lease)
+            await client.renew_lease(lease)
