--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -68,7 +68,7 @@
 
 
 def write_settings(path: Path, store: str, **changes: Any) -> dict[str, Any]:
-    """Write an entry node's settings, with ports of its own, and return them."""
+    """Write an entry node's settings with its own ports, and return them."""
     settings: dict[str, Any] = {
         "name": "entry-1",
         "ip": LOOPBACK,
@@ -115,7 +115,7 @@
             return response.status, await response.read()
 
     async def get_status(self, listener: str, path: str) -> int:
-        """Ask one of the other listeners; 0 if it is not there."""
+        """Return the status of a request to another listener, or 0 if it does not listen."""
         try:
             async with self.client.get(f"http://{self.settings[listener]}{path}") as response:
                 return response.status
@@ -123,7 +123,7 @@
             return 0
 
     async def wait_ready(self) -> None:
-        """Wait until callers may be sent here."""
+        """Wait until the node is ready."""
         async with asyncio.timeout(20):
             while await self.get_status("readiness", "/readyz") != 200:
                 await asyncio.sleep(0.05)
@@ -177,14 +177,14 @@
     async def test_rejects_unknown_route_unknown_key_and_large_body(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
-        """Unknown route, unknown key and a body beyond the limit get their own answers."""
+        """Each of the three gets its own status."""
         assert (await entry.send("/none/x", headers=KEY))[0] == 404
         assert (await entry.send("/once/x", headers={"Authorization": "Bearer old"}))[0] == 401
         assert (await entry.send("/once/x", headers=KEY, data=b"x" * 1001))[0] == 413
         assert not endpoint.received
 
     async def test_revoked_key_is_refused(self, entry: Entry, store: StandinStore) -> None:
-        """A new configuration without a key is in force soon after the store took it."""
+        """A configuration without a key takes effect soon after the store has it."""
         changed = {**CONFIGURATION, "version": 9, "tenants": [{"name": "org1", "apiKeys": ["k2"]}]}
         store.put("op/config", changed)
         async with asyncio.timeout(5):
@@ -194,9 +194,10 @@
     async def test_store_outage_expires_keys_but_not_public_routes(
         self, entry: Entry, store: StandinStore, endpoint: StandinEndpoint
     ) -> None:
-        """Without proof that a key is still good, its requests get 503; public ones are served.
+        """Guards against keys that stay valid without proof that they have not been revoked.
 
-        The store refuses this node for longer than a key may outlive its removal.
+        The store refuses this node for longer than a revoked key may stay valid. Requests with a
+        key get 503; public ones are served.
         """
         store.refuse = True
         async with asyncio.timeout(15):
@@ -207,7 +208,7 @@
         assert await entry.get_status("readiness", "/readyz") == 503
 
     async def test_directory_returns_this_node(self, entry: Entry) -> None:
-        """A caller that asks where to connect gets this node and a time to keep the answer."""
+        """A lookup returns this node and the time for which the response can be cached."""
         url = f"http://{entry.settings['directory']}/resolution?name=x&region=r1&zone=z1"
         async with entry.client.get(url) as response:
             answer = await response.json()
@@ -217,9 +218,9 @@
     async def test_drain_completes_open_streams(
         self, entry: Entry, endpoint: StandinEndpoint, store: StandinStore
     ) -> None:
-        """A stream that runs when the signal comes reaches its caller whole.
+        """Guards against a stop that cuts a stream in progress.
 
-        The node is out of the directory and unready at once, and ends by itself.
+        The node is out of the directory and unready at once, and exits by itself.
         """
         endpoint.pause = 0.6
         endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(4)))]
@@ -238,10 +239,9 @@
     async def test_request_late_in_the_drain_is_refused_as_not_run(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
-        """A request that could not end within the grace time is not begun.
+        """Guards against starting a request that the end of the process would cut.
 
-        It comes on a kept connection three seconds after the signal, while a stream still runs;
-        begun, it would be cut when the process ends.
+        It comes on a kept-alive connection three seconds after the signal, during a stream.
         """
         endpoint.pause = 0.9
         endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(5)))]
@@ -259,10 +259,7 @@
     async def test_disconnect_of_the_caller_cancels_the_request(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
-        """The endpoint's connection closes soon after the caller's.
-
-        The stream would have gone on for twenty seconds.
-        """
+        """Guards against a stream of twenty seconds that runs on after its caller disconnected."""
         endpoint.pause = 0.2
         endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(100)))]
         with pytest.raises((TimeoutError, ClientError)):
@@ -275,7 +272,7 @@
     async def test_malformed_settings_on_reload_are_ignored(
         self, entry: Entry, tmp_path: Path
     ) -> None:
-        """A file that became malformed is refused with a log line; the node serves on."""
+        """The node logs the error and keeps running."""
         (tmp_path / "settings.toml").write_text("name = ")
         entry.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.5)
@@ -294,14 +291,14 @@
 
 
 class TestSettings:
-    """Tests of settings that are refused."""
+    """Tests of invalid settings."""
 
     @pytest.mark.parametrize("program", ["entry.py", "agent.py"])
     @pytest.mark.parametrize("text", ['name = "a"\n', "internal_port = x", 'internal_port = "x"\n'])
     async def test_malformed_settings_end_with_a_clear_error(
         self, tmp_path: Path, program: str, text: str
     ) -> None:
-        """The program says what is wrong and ends with exit code 2."""
+        """The program prints the error and exits with code 2."""
         path = tmp_path / "settings.toml"
         path.write_text(text)
         process = await start_program(program, path)
@@ -312,7 +309,7 @@
 
 
 def test_platform_folder_does_not_shadow_the_library() -> None:
-    """A module of the standard library has the folder's name; it must still be found."""
+    """The standard library has a module of the same name, which must still be importable."""
     import platform
 
     assert platform.system()
