--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -1,4 +1,4 @@
-"""Tests of the agent's program, against stand-ins of its engine, the origin and the store."""
+"""Tests of the agent as a process, with stand-ins of its engine, the origin and the store."""
 
 import asyncio
 import base64
@@ -30,9 +30,9 @@
 
 @dataclass
 class StandinEngine:
-    """A model engine that loads what lies staged when it is ordered.
+    """A model engine that loads the staged chunks when it gets an order.
 
-    :param busy: orders refused before one is accepted.
+    :param busy: number of orders rejected before one is accepted.
     """
 
     version: int = 0
@@ -41,7 +41,7 @@
     busy: int = 0
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the engine's calls."""
+        """Return the routes of the engine's calls."""
         return [
             web.get("/report", self._report),
             web.get("/stage-get/{model}", self._read),
@@ -126,14 +126,14 @@
 
 @pytest.fixture
 async def engine() -> StandinEngine:
-    """Return an engine that holds no weights."""
+    """Return an engine without weights."""
     return StandinEngine()
 
 
 async def _start_agent(
     stack: AsyncExitStack, store: StandinStore, engine: StandinEngine, tmp_path: Path
 ) -> tuple[asyncio.subprocess.Process, str]:
-    """Start an agent, which ends with the stack; return the process and its address."""
+    """Start an agent, stopped with the stack; return the process and its address."""
     port = find_free_port()
     settings = {
         "name": "side-1",
@@ -164,7 +164,7 @@
 async def agent(
     stack: AsyncExitStack, store: StandinStore, engine: StandinEngine, tmp_path: Path
 ) -> tuple[asyncio.subprocess.Process, str]:
-    """Run an agent; gives the process and its address."""
+    """Run an agent and return its process and address."""
     origin = await _start_server(
         stack, [web.get("/manifest/{m}", _send_manifest), web.get("/piece/{m}", _send_piece)]
     )
@@ -184,7 +184,7 @@
     async def test_loads_each_named_version_into_an_empty_engine(
         self, agent: object, engine: StandinEngine, store: StandinStore
     ) -> None:
-        """The engine gets the first version by itself and the second once it is named."""
+        """The engine gets the first version at once and the second when it is published."""
         await _wait_for_version(engine, 1)
         store.put(f"op/version/{MODEL}", {"model": MODEL, "version": 2})
         await _wait_for_version(engine, 2)
@@ -193,7 +193,7 @@
     async def test_retries_the_order_while_the_engine_is_busy(
         self, agent: object, engine: StandinEngine
     ) -> None:
-        """An engine that refuses two orders is ordered until it accepts one."""
+        """An engine that rejects two orders gets further ones until it accepts one."""
         engine.busy = 2
         await _wait_for_version(engine, 1)
         assert engine.loaded == [(1, True)]
@@ -201,7 +201,7 @@
     async def test_reports_its_engine(
         self, agent: tuple[asyncio.subprocess.Process, str], engine: StandinEngine
     ) -> None:
-        """An entry node that asks gets a line with the engine's load and version."""
+        """An entry node that requests reports gets lines with the engine's load and version."""
         await _wait_for_version(engine, 1)
         url = f"http://{agent[1]}/reports"
         async with asyncio.timeout(10), ClientSession() as client, client.get(url) as response:
@@ -212,7 +212,7 @@
     async def test_stops_on_sigterm(
         self, agent: tuple[asyncio.subprocess.Process, str], engine: StandinEngine
     ) -> None:
-        """A stop ends the process within the grace time, also while a report is followed."""
+        """The process ends within the grace time, also while a client follows its reports."""
         await _wait_for_version(engine, 1)
         async with ClientSession() as client:
             async with client.get(f"http://{agent[1]}/reports") as response:
@@ -225,7 +225,7 @@
 
 
 class StandinRelay:
-    """An entry node that follows an agent's reports and tells it what the store holds."""
+    """An entry node that follows an agent's reports and sends it the store's content."""
 
     def __init__(self) -> None:
         self.items: list[Item] = []
@@ -234,7 +234,7 @@
         self.ended = asyncio.Event()
 
     async def stream(self, request: web.Request) -> web.StreamResponse:
-        """Tell the whole content every fifth of a second until it ends."""
+        """Send the whole content every 0.2 s until ``ended`` is set."""
         assert request.query["scope"] == "readings"
         self.followed.set()
         response = web.StreamResponse()
@@ -249,7 +249,7 @@
 
 
 class TestAgentWithRelay:
-    """Tests of an agent that an entry node feeds."""
+    """Tests of an agent that gets the store's content from an entry node."""
 
     async def test_uses_its_relay_and_falls_back_to_the_store(
         self,
@@ -258,10 +258,10 @@
         store: StandinStore,
         stack: AsyncExitStack,
     ) -> None:
-        """The store is away; a version is named, and only the relay can tell.
+        """Guards against an agent that uses one source only and stays on older weights.
 
-        Then the relay dies and the store is back: the agent asks it again, and has the version
-        that is named next. An agent that knows one source only would stay on the older weights.
+        During a store outage a version is published through the relay; then the relay fails, the
+        store is back, and the next version is published there.
         """
         await _wait_for_version(engine, 1)
         relay = StandinRelay()
@@ -290,9 +290,9 @@
         store: StandinStore,
         stack: AsyncExitStack,
     ) -> None:
-        """A hundred agents that list endpoints and watch versions cost the store 50 calls a second.
+        """Guards the store's capacity: 100 agents without relays make 50 calls a second.
 
-        Fed by a relay none of them calls.
+        An agent that a relay sends updates to makes no call.
         """
         await _wait_for_version(engine, 1)
         relay = StandinRelay()
@@ -301,7 +301,7 @@
         await client.get(f"http://{agent[1]}/reports", params={"relay": address})
         async with asyncio.timeout(10):
             await relay.followed.wait()
-        # By itself an agent lists the endpoints every two seconds.
+        # Without a relay the agent would list the endpoints every two seconds.
         async with asyncio.timeout(30):
             before = -1
             while before != len(store.calls):
@@ -315,9 +315,9 @@
         engine: StandinEngine,
         stack: AsyncExitStack,
     ) -> None:
-        """A host is taken away: its agent is told to stop while a relay follows and feeds it.
+        """Guards against an agent that waits for its relay to disconnect when its host is stopped.
 
-        An agent that waits for its relay to go would be killed at the end of its grace time.
+        It would be killed at the end of its grace time.
         """
         await _wait_for_version(engine, 1)
         relay = StandinRelay()
@@ -337,10 +337,10 @@
     async def test_reads_lists_from_the_zone_seed_not_the_store(
         self, stack: AsyncExitStack, store: StandinStore, engine: StandinEngine, tmp_path: Path
     ) -> None:
-        """All processes start anew, and the configuration has grown to half a megabyte.
+        """Guards against full links between regions after a restart of all processes.
 
-        Each agent of two regions asked the store for it; the links between the regions were full
-        for seconds, and no engine got its weights. The zone's seed has all that an agent needs.
+        Each agent of two regions read a configuration of half a megabyte from the store, and no
+        engine got its weights for seconds. The zone's seed has all that an agent needs.
         """
         relay = StandinRelay()
         address = await _start_server(stack, [web.get("/frames", relay.stream)])
