--- a/tests/platform/test_runner.py
+++ b/tests/platform/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of sending to endpoints that spoil, lose, cross or refuse answers."""
+"""Tests of sending to endpoints that corrupt, lose, mix up or reject responses."""
 
 import asyncio
 import gc
@@ -83,7 +83,7 @@
     async def test_chain_is_named_with_the_layers_of_each_engine(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """The first engine learns which others hold the layers that it lacks."""
+        """The first engine gets the addresses of the others and the layers that they serve."""
         first = Endpoint(
             AgentId("i-1"), ServiceName("s"), endpoint.address, PlaceName("p"), RegionName("r"), 4
         )
@@ -99,7 +99,7 @@
     async def test_rejection_by_a_later_engine_names_that_engine(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """The first engine is sound; put down to it, half of the engines would be avoided."""
+        """Guards against blaming the first engine of a chain; half of them would be avoided."""
         endpoint.answers = [
             full_response(
                 b"", "503 Service Unavailable", b"X-Not-Executed: 1\r\nAt-Server: 10.0.0.2:80\r\n"
@@ -110,7 +110,7 @@
         assert result.address == "10.0.0.2:80"
 
     async def test_refused_connection_is_not_sent(self, session: ClientSession) -> None:
-        """Nothing listens: the request may go elsewhere, whatever its kind."""
+        """A request of any kind can be sent elsewhere if the connection was refused."""
         result = await RunnerTransport(session).open(_attempt("127.0.0.1:9"))
         assert isinstance(result, NotSent)
 
@@ -118,10 +118,10 @@
     async def test_request_on_a_closed_kept_alive_connection_is_sent_once(
         self, session: ClientSession, endpoint: StandinEndpoint, method: str
     ) -> None:
-        """A kept connection closes under a request: it may have run, and is not sent again.
+        """Guards against the client library's own retry of a request that may have run.
 
-        The first request leaves the connection open; the endpoint reads the second and closes
-        without an answer. The client library would repeat some methods by itself.
+        The endpoint reads the second request on a kept-alive connection, and closes it without a
+        response.
         """
         endpoint.answers = [full_response(b"ok"), None]
         request = _attempt(endpoint.address, method)
@@ -136,7 +136,7 @@
     async def test_rejections_are_told_apart(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """A full endpoint and one that is somebody else both did not run the request."""
+        """A full endpoint and a wrong endpoint both did not run the request."""
         endpoint.answers = [
             full_response(
                 b"", "503 Service Unavailable", b"X-Not-Executed: 1\r\nX-Instance-Load: 4,2,4\r\n"
@@ -153,7 +153,7 @@
     async def test_503_without_not_executed_header_is_a_reply(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """Only the endpoint's own word says that a request did not run."""
+        """Only the endpoint's own header says that a request did not run."""
         endpoint.answers = [full_response(b"", "503 Service Unavailable")]
         assert isinstance(await _open(session, endpoint), RunnerReply)
 
@@ -168,7 +168,7 @@
     async def test_mismatched_responses_are_not_genuine(
         self, session: ClientSession, endpoint: StandinEndpoint, answer: bytes
     ) -> None:
-        """An answer of another request, unsigned or re-encoded is never passed on."""
+        """A response to another request, or unsigned or re-encoded, is never passed on."""
         endpoint.answers = [answer]
         reply = await _open(session, endpoint)
         assert not reply.genuine
@@ -176,9 +176,9 @@
     async def test_extra_response_is_not_matched_to_the_next_request(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """A second answer waits on a kept connection when the next request is sent.
+        """Guards against a second response, left on a kept-alive connection, that a caller gets.
 
-        Its id is the earlier request's, so it either never reaches the next or is not genuine.
+        It carries the earlier request's id, so it is either never read or not genuine.
         """
         extra = full_response(b"late").replace(b"{id}", b"r0")
         endpoint.answers = [full_response(b"ok") + extra, full_response(b"own")]
@@ -193,7 +193,7 @@
     async def test_truncated_response_raises(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """A body shorter than announced is not a body."""
+        """A body shorter than its Content-Length is broken."""
         endpoint.answers = [full_response(b"whole body").replace(b"whole body", b"who") + b"RESET"]
         reply = await _open(session, endpoint)
         with pytest.raises(ReplyBrokenError):
@@ -205,10 +205,9 @@
         endpoint: StandinEndpoint,
         caplog: pytest.LogCaptureFixture,
     ) -> None:
-        """An endpoint resets a connection while its answer is read.
+        """Guards against tracebacks in the log for resets that the reader already handles.
 
-        Whoever reads it learns of that. Told once more by the event loop, as an error that nobody
-        fetched, each reset put a stack into the log, where it hid what mattered.
+        The event loop logs an error that nobody has retrieved.
         """
         endpoint.answers = [stream_response(b"id: 1\n\n", end=False)]
         reply = await _open(session, endpoint)
@@ -224,10 +223,10 @@
     async def test_response_without_length_needs_a_clean_close(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """An answer without a length is whole after a close and broken after a reset.
+        """Guards against a truncated response that is passed on as complete.
 
-        The library gives the same bytes in both cases; the caller would get half an answer that
-        looks whole.
+        A response without a length ends with its connection, and the library returns the same bytes
+        after a close and after a reset.
         """
         unframed = full_response(b"body").replace(b"Content-Length: 4\r\n", b"")
         endpoint.answers = [unframed, unframed + b"RESET"]
@@ -240,7 +239,7 @@
     async def test_stream_without_last_chunk_raises(
         self, session: ClientSession, endpoint: StandinEndpoint
     ) -> None:
-        """A stream that stops before its last chunk does not end as complete."""
+        """A stream that stops before its last chunk is not complete."""
         endpoint.answers = [stream_response(b"id: 1\n\n", end=False)]
         reply = await _open(session, endpoint)
         assert reply.is_stream
