--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's documents, decoded into the product's types."""
+"""Tests of the decoders of the platform's documents."""
 
 import json
 from contextlib import suppress
@@ -62,10 +62,7 @@
 
     @given(strategies.dictionaries(strategies.sampled_from(FIELDS), JSON))
     def test_malformed_entry_does_not_hide_a_valid_one(self, changes: dict[str, Any]) -> None:
-        """Another program writes an entry with fields of any type.
-
-        It either names an endpoint or is left out; the others stay in use.
-        """
+        """An entry of another program, with fields of any type, leaves other endpoints in use."""
         other = _entry("x", 1, address="10.0.0.2:80")
         fields = {**json.loads(other.value or b""), **changes}
         found = _decode(Item("servers/x", json.dumps(fields).encode(), 1), _entry("a", 2))
@@ -73,7 +70,7 @@
 
     @given(strategies.binary(max_size=40))
     def test_undecodable_bytes_are_ignored(self, value: bytes) -> None:
-        """Bytes that are no text, or no document, name no endpoint."""
+        """Bytes that are no text or no document describe no endpoint."""
         (found,) = _decode(Item("servers/x", value, 3), _entry("a", 2))
         assert found.agent_id == "a"
 
@@ -90,30 +87,31 @@
         ],
     )
     def test_invalid_entry_does_not_replace_an_endpoint(self, changes: dict[str, Any]) -> None:
-        """A foreign entry names a live engine's address and is written after the engine's own.
+        """Guards against an invalid entry with a live engine's address that hides the engine.
 
-        Callers would find one engine less, or requests would go where nobody expects them.
+        It is written after the engine's own. Callers would lose that engine, or requests would go
+        to the wrong place.
         """
         (found,) = _decode(_entry("a", 2), _entry("x", 9, **changes))
         assert found.agent_id == "a"
 
     def test_later_incarnation_wins_over_later_write(self) -> None:
-        """Its start and not the order of arrival tells which of two entries is newer."""
+        """The start time, not the order of writes, determines which of two entries is newer."""
         (found,) = _decode(_entry("a", 2, born=2000), _entry("b", 9, born=1000))
         assert found.agent_id == "a"
 
     def test_latest_incarnation_at_an_address_wins(self) -> None:
-        """An engine lost its power and is back; its former entry lasts three more heartbeats.
+        """Guards against requests to a former incarnation, listed for three more heartbeats.
 
-        Taken for alive, the former one gets requests that the new one rejects, and after a loss
-        of all engines nobody would notice that none holds weights.
+        The engine would reject them, and after a power loss of all engines no node would notice
+        that none has weights.
         """
         former = _entry("a", 7, models=[{"name": "m", "version": 3}])
         (found,) = _decode(_entry("b", 9, models=[]), former)
         assert (found.agent_id, found.versions) == ("b", {})
 
     def test_malformed_value_is_ignored(self) -> None:
-        """One malformed entry does not hide the others."""
+        """A malformed entry does not hide the others."""
         assert [each.agent_id for each in _decode(Item("servers/x", b"?", 1), _entry("a", 2))] == [
             "a"
         ]
@@ -123,12 +121,12 @@
         [({"from": 8, "target": 16, "version": 2}, LayerSpan(8, 16)), (None, None)],
     )
     def test_decodes_the_layers_of_an_engine(self, layers: Any, span: LayerSpan | None) -> None:
-        """An engine tells which layers it holds, or that it holds none."""
+        """An engine lists its span of layers, or none."""
         (found,) = _decode(_entry("a", 1, layers=layers))
         assert found.span == span
 
     def test_engine_without_layers_serves_all_layers(self) -> None:
-        """Engines of other deployments load models whole."""
+        """Engines of other deployments load whole models."""
         (found,) = _decode(_entry("a", 1))
         assert found.span == EVERY_LAYER
 
@@ -137,7 +135,7 @@
     """Tests for ``decode_report``."""
 
     def test_engine_unloading_a_version_serves_no_layers(self) -> None:
-        """While its last streams end it still names the version, but takes nothing new."""
+        """While its last streams end, it still lists the version but accepts no requests."""
         fields = {
             "models": [{"name": "m", "version": 1}],
             "layers": None,
@@ -150,7 +148,7 @@
 
     @given(strategies.dictionaries(strategies.sampled_from(FIELDS), JSON))
     def test_any_document_is_decoded_or_rejected(self, fields: dict[str, Any]) -> None:
-        """No report, naming or configuration stops the process that reads it."""
+        """No report, version or configuration stops the process that reads it."""
         document = json.dumps(fields).encode()
         with suppress(ValueError):
             decode_report(document, "m")
