--- a/tests/platform/test_relay_tracker.py
+++ b/tests/platform/test_relay_tracker.py
@@ -1,4 +1,4 @@
-"""Tests of when an agent may ask the store itself."""
+"""Tests of when an agent reads the store itself."""
 
 import asyncio
 from random import Random
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def tracker(session: ClientSession, store: StandinStore) -> RelayTracker:
-    """Return a feed over the stand-in."""
+    """Return a tracker over the stand-in of the store."""
     return RelayTracker(StoreClient(session, store.address), PlaceName("z1"), Random(1))
 
 
@@ -28,9 +28,9 @@
     async def test_lists_nothing_until_the_seed_key_is_read(
         self, tracker: RelayTracker, store: StandinStore, monkeypatch
     ) -> None:
-        """Links between regions are full: the question for the seed gets no answer.
+        """Guards against agents that list ranges while the links between regions are full.
 
-        Lists asked for instead, a megabyte each by hundreds of agents, would keep them full.
+        Lists of a megabyte each, read by hundreds of agents, would keep the links full.
         """
         monkeypatch.setattr(_relay_tracker, "RETRY_SECONDS", 0.01)
         store.refuse = True
@@ -43,14 +43,15 @@
         store.put(KEY, {"internal": "h1:1", "large": False})
         await search
         assert tracker.relay == "h1:1"
-        assert tracker.is_current  # it waits for the seed for a moment
+        assert tracker.is_current  # the wait for the seed has begun
 
     @pytest.mark.parametrize("large", [False, True])
     async def test_agents_of_a_large_fleet_wait_longer(
         self, tracker: RelayTracker, store: StandinStore, large: bool
     ) -> None:
-        """The zone's relay is lost: in a small fleet the store is asked at once, in a large one
-        each agent waits for a time of its own, or all would list thousands of endpoints together.
+        """Guards against agents of a large fleet that all list thousands of endpoints at once.
+
+        When the zone's relay fails, each waits for a random time; in a small fleet none waits.
         """
         store.put(KEY, {"internal": "h1:1", "large": large})
         await tracker.find_seed()
@@ -58,7 +59,7 @@
         assert tracker.can_list is not large
 
     async def test_lost_relay_is_tried_last(self, tracker: RelayTracker) -> None:
-        """Two entry nodes have followed the agent; the later one dies."""
+        """After the later of two relays fails, the earlier one is used."""
         tracker.record_relay("h1:1")
         tracker.record_relay("h2:1")
         tracker.demote_relay("h2:1")
