--- a/tests/platform/test_crashing_content.py
+++ b/tests/platform/test_crashing_content.py
@@ -1,10 +1,9 @@
-"""A request that crashes every endpoint that begins it, repeated at several entry nodes.
+"""Tests of requests that crash endpoints and are repeated at several entry nodes.
 
-Callers see their streams break off and are refused for want of endpoints: one request crashes the
-endpoint that begins it, its caller repeats it under a new id at any entry node, and each node
-takes each repeat for a new request with two tries of its own. Nobody counts, over all nodes and
-attempts, the endpoints that fell under the same content, so nothing ends it. Proved by logs that
-name the content: at each fall of a wave the same one was in progress, and nothing else was.
+A caller whose request crashed an endpoint repeats it under a new id at any entry node, and each
+node takes each repeat for a new request with two tries of its own. Unless the nodes together count
+the endpoints that failed under the same content, one request takes down all of them, and other
+callers see broken streams and refusals for lack of endpoints.
 """
 
 import asyncio
@@ -26,16 +25,16 @@
 ENTRY_COUNT = 3
 ENDPOINT_COUNT = 6
 CRASHES = 3
-"""Endpoints that may fall before a content is held back."""
+"""Number of endpoint failures after which a content is quarantined."""
 
 SETTLE_SECONDS = 3.0
-"""From the third crash until every node that is in touch must know of it."""
+"""Time after the third crash by which every connected node must know of it."""
 
 MAX_SENT_AFTERWARDS = 3
-"""Sends allowed later than that, over the whole fleet."""
+"""Largest number of sends after that time, over the whole fleet."""
 
 REPEAT_SECONDS = 5.0
-"""For which the request is repeated after that, so that endpoints are back and could be sent it."""
+"""How long the request is repeated after that, so that restarted endpoints could receive it."""
 
 CRASHING_BODY = b"crash"
 
@@ -80,7 +79,7 @@
             await self.entries[number].wait_ready()
 
     async def repeat(self, seconds: float) -> list[tuple[int, dict[str, str], bytes]]:
-        """Repeat the request at random nodes, and return the answers."""
+        """Repeat the request at random nodes, and return the responses."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         tasks = []
@@ -91,15 +90,15 @@
 
     @property
     def crashes(self) -> list[float]:
-        """When endpoints crashed."""
+        """Times of all endpoint crashes, in order."""
         return sorted(at for each in self.endpoints for at in each.crashed_at)
 
     def count_sent(self, after: float) -> int:
-        """Return how often the request that crashes endpoints reached one after a time."""
+        """Return how many crashing requests reached endpoints after a time."""
         return sum(at > after for each in self.endpoints for at in each.begun_at)
 
     async def wait_for_crashes(self, wanted: int) -> float:
-        """Repeat the request until so many endpoints have crashed, and return when the last did."""
+        """Repeat the request until ``wanted`` endpoints have crashed; return when the last did."""
         pending: set[asyncio.Task[object]] = set()
         async with asyncio.timeout(30):
             while len(self.crashes) < wanted:
@@ -161,7 +160,7 @@
 
 
 async def _wait_connected(store: StandinStore, entries: list[Entry]) -> None:
-    """Wait until all nodes are listed and one has had time to hear of the others."""
+    """Wait until all nodes are registered and have had time to connect to each other."""
     async with asyncio.timeout(10):
         while sum(key.startswith("wrenloft/entry/") for key in store.items) < len(entries):
             await asyncio.sleep(0.05)
@@ -176,10 +175,10 @@
 
 @pytest.mark.parametrize("sign", list(CrashSign))
 async def test_crashing_request_is_quarantined(fleet: Fleet, sign: CrashSign) -> None:
-    """Three endpoints fall; then repeats at any node are answered without being sent.
+    """Guards against a request that goes on to crash endpoints when it is repeated.
 
-    The crash shows as a reset, as a stream cut short or as silence. Repeats come ten times a
-    second at random nodes, with other ids and deadlines, beside another caller's requests.
+    After three crashes, seen as a reset, a truncated stream or silence, repeats are refused at any
+    node. They come ten times a second with other ids and deadlines, beside other requests.
     """
     for each in fleet.endpoints:
         each.sign = sign
@@ -188,7 +187,7 @@
 
 @pytest.mark.parametrize("sign", list(CrashSign))
 async def test_crashing_unsafe_call_is_quarantined(fleet: Fleet, sign: CrashSign) -> None:
-    """The same with a call that may be sent once only; its silence is borne to its deadline."""
+    """The same for a call that can be sent only once, whose silence lasts until its deadline."""
     fleet.path = "/once/x"
     for each in fleet.endpoints:
         each.sign = sign
@@ -197,7 +196,7 @@
 
 
 async def _repeat_beside_others(fleet: Fleet) -> None:
-    """Crash three endpoints, go on repeating, and check who is sent and who is served."""
+    """Crash three endpoints, repeat the request, and check what is sent and who is served."""
     third = await fleet.wait_for_crashes(CRASHES)
     loop = asyncio.get_running_loop()
     statuses = []
@@ -213,10 +212,7 @@
 
 
 async def test_quarantine_survives_restart_of_all_entry_nodes(fleet: Fleet) -> None:
-    """All entry nodes are killed at once and start again; the request is still held back.
-
-    Without the store's word, each start would cost three more endpoints.
-    """
+    """Guards against a restart of all nodes that costs three more endpoints."""
     third = await fleet.wait_for_crashes(CRASHES)
     await _wait_stored(fleet)
     await fleet.kill(*range(ENTRY_COUNT))
@@ -234,7 +230,7 @@
 
 
 async def test_crashes_spread_without_the_store_and_a_relay(fleet: Fleet) -> None:
-    """The store refuses everyone, and a node that may relay for the others dies with the crash."""
+    """Guards against crash updates that need the store, or a node that may relay for others."""
     await fleet.wait_for_crashes(CRASHES - 1)
     fleet.store.refuse = True
     third = await fleet.wait_for_crashes(CRASHES)
@@ -248,7 +244,7 @@
 
 
 async def test_quarantined_content_is_refused_until_an_operator_lifts_it(fleet: Fleet) -> None:
-    """Each repeat gets its own answer at once; after the lift it is sent again, at any node."""
+    """Each repeat is refused at once with a reason; after the lift, any node sends it again."""
     await fleet.wait_for_crashes(CRASHES)
     await asyncio.sleep(1.0)
     status, headers, body = await fleet.send(CRASHING_BODY, fleet.entries[2])
@@ -268,9 +264,9 @@
 
 
 async def test_power_loss_of_a_rack_quarantines_no_polls(fleet: Fleet) -> None:
-    """Half of the endpoints lose power at once while many callers poll the same path.
+    """Guards against quarantining a poll that many callers had in progress at a power loss.
 
-    Each of them has the poll in progress. It crashed none, and is not held back at any node.
+    Half of the endpoints fail at once while all callers poll the same path.
     """
     answer = stream_response(b"id: 0\n\n", b"id: 1\n\n", b"id: 2\n\n")
     for each in fleet.endpoints:
@@ -304,7 +300,7 @@
 
 
 async def test_command_lists_and_lifts_quarantines(fleet: Fleet) -> None:
-    """An operator at any host; a lift of what is not held back fails with a clear error."""
+    """The command works at any node; lifting a content that is not quarantined fails clearly."""
     node = fleet.entries[1].settings
     address = f"{node['ip']}:{node['internal_port']}"
     assert await run_command("held", "list", "--node", address) == (0, "nothing is held back")
@@ -320,7 +316,7 @@
 
 
 async def run_command(*words: str) -> tuple[int | None, str]:
-    """Run ``wrenloft`` with these words, and return its exit code and what it printed."""
+    """Run ``wrenloft`` with these arguments, and return its exit code and output."""
     command = "from wrenloft._cli import main; main()"
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-c", command, *words,
--- a/tests/platform/test_quarantines.py
+++ b/tests/platform/test_quarantines.py
@@ -1,4 +1,4 @@
-"""Tests of holds and trials in the store."""
+"""Tests of quarantines and probe claims in the store."""
 
 import asyncio
 import time
@@ -43,7 +43,7 @@
 
 
 async def test_quarantine_is_stored_and_read_back(client: StoreClient, store: StandinStore) -> None:
-    """A node that starts finds what was held back before, with its age."""
+    """A node that starts finds the stored quarantines with their age."""
     quarantines = StoredQuarantines(client)
     quarantines.keep(CONTENT, CRASHES)
     await _wait_for(store, present=True)
@@ -58,7 +58,7 @@
 async def test_repeated_writes_of_a_quarantine_are_rate_limited(
     client: StoreClient, store: StandinStore
 ) -> None:
-    """Several engines fall under a content within a second: one lease, one write."""
+    """Several engines that fail under one content within a second cost one lease and one write."""
     quarantines = StoredQuarantines(client)
     for _ in range(5):
         quarantines.keep(CONTENT, CRASHES)
@@ -70,7 +70,7 @@
 async def test_write_is_retried_until_the_store_is_back(
     client: StoreClient, store: StandinStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store was away at the third crash; the hold is written when it answers again."""
+    """A quarantine that began during a store outage is written afterwards."""
     monkeypatch.setattr(_quarantines, "RETRY_SECONDS", 0.02)
     store.refuse = True
     quarantines = StoredQuarantines(client)
@@ -82,7 +82,7 @@
 
 
 async def test_only_one_of_two_nodes_claims_a_probe(client: StoreClient) -> None:
-    """Both find at the same moment that a minute has passed; one request is let through."""
+    """Guards against two nodes that both send a probe when it is due."""
     first, second = StoredQuarantines(client), StoredQuarantines(client)
     claims = await asyncio.gather(
         first.claim(CONTENT, TRIAL_SECONDS), second.claim(CONTENT, TRIAL_SECONDS)
@@ -93,21 +93,24 @@
 async def test_probe_is_not_claimed_without_the_store(
     client: StoreClient, store: StandinStore
 ) -> None:
-    """Nobody can tell whether another node has it, so nobody does."""
+    """Without the store no node knows whether another one has the claim."""
     store.refuse = True
     assert not await StoredQuarantines(client).claim(CONTENT, TRIAL_SECONDS)
 
 
 @pytest.mark.parametrize("value", BAD_ENTRIES)
 def test_malformed_quarantine_is_ignored(value: bytes) -> None:
-    """It was written by another program; the other entries count."""
+    """An entry of another program does not hide the others."""
     good = Item(KEY, encode_quarantine(CONTENT, CRASHES, 50.0), 2)
     snapshot = Reading((Item("wrenloft/held/x", value, 1), good), 2)
     assert decode_quarantines(snapshot, 50.0) == {CONTENT: CRASHES}
 
 
 def test_stored_age_is_kept_at_a_node_that_starts(store: StandinStore) -> None:
-    """A hold of nine minutes is read by a node that has just started; it ends in one minute."""
+    """Guards against a quarantine whose time starts over at a node that has just started.
+
+    After nine minutes it must end within one more.
+    """
     item = Item(KEY, encode_quarantine(CONTENT, CRASHES, 1000.0), 1)
     (reported,) = decode_quarantines(Reading((item,), 1), 1540.0)[CONTENT].values()
     assert reported.age == 541.5
