--- a/tests/platform/test_seeds.py
+++ b/tests/platform/test_seeds.py
@@ -1,4 +1,4 @@
-"""Tests of how whoever starts finds the first node to ask."""
+"""Tests of finding the zone's seed at the start."""
 
 import asyncio
 
@@ -27,10 +27,10 @@
     async def test_nodes_that_start_together_find_one_seed(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """A hundred nodes of a zone start at once, and nobody is known.
+        """Guards against a start at which all nodes of a zone list ranges of the store.
 
-        One becomes the seed, all others hear its name, and none reads a list from the store: the
-        lists of all that started had kept the links between regions full for half a minute.
+        Those lists kept the links between regions full for half a minute. One of a hundred nodes
+        becomes the seed, and the others read its address.
         """
         seeds = [SeedRegistry(client, PLACE, f"h{number}:1") for number in range(100)]
         found = await asyncio.gather(*(each.find_or_claim() for each in seeds))
@@ -42,7 +42,7 @@
     async def test_seed_key_survives_its_process(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """All processes were killed: they find the same name again, and the size with it."""
+        """After a failure of all processes they find the same address and size."""
         store.put(KEY, {"internal": "h1:1", "large": False})
         assert await SeedRegistry(client, PLACE, "h2:1").find_or_claim() == Seed(
             "h1:1", large=False
@@ -51,7 +51,7 @@
     async def test_unavailable_store_is_not_taken_for_a_missing_seed(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """While the store is away a node asks again; it doesn't take itself for the first."""
+        """Guards against a node that takes itself for the first while the store is down."""
         store.refuse = True
         seeds = SeedRegistry(client, PLACE, "h1:1")
         for call in (seeds.find, seeds.find_or_claim):
@@ -62,14 +62,14 @@
     async def test_malformed_seed_is_ignored(
         self, client: StoreClient, store: StandinStore, value: object
     ) -> None:
-        """Another program's word under the key costs the start a moment, not the node."""
+        """A value of another program delays the start but does not stop the node."""
         store.put(KEY, value)
         assert await SeedRegistry(client, PLACE).find() is None
 
     async def test_relay_replaces_a_lost_seed(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """A seed that lives stays; one that is gone is replaced by the zone's relay, once."""
+        """A connected seed stays; a lost one is replaced by the zone's relay, once."""
         store.put(KEY, {"internal": "h1:1", "large": True})
         seeds = SeedRegistry(client, PLACE, "h2:1")
         seeds.apply(await client.list("wrenloft/"))
