--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -27,7 +27,7 @@
         assert await client.read("a/2") is None
 
     async def test_lists_all_pages(self, client: StoreClient, store: StandinStore) -> None:
-        """A list that the store cuts into pages is read whole."""
+        """A list that the store splits into pages is read completely."""
         store.page = 3
         for number in range(8):
             store.put(f"a/{number}", number)
@@ -38,7 +38,7 @@
     async def test_watch_returns_changes_and_deletions(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """A watch gives what was written and what was removed since a revision."""
+        """A watch returns what was written and removed since a revision."""
         at = store.put("a/1", 1)
         store.put("a/2", 2)
         store.remove("a/1")
@@ -48,7 +48,7 @@
     async def test_watch_of_compacted_history_raises(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """The reader learns that it must read everything anew, not that nothing changed."""
+        """Guards against taking compacted history for no changes."""
         store.compacted = 100
         with pytest.raises(HistoryLostError):
             await client.watch("a/", 5, 0.1)
@@ -56,10 +56,7 @@
     async def test_refused_call_and_lost_response_raise_the_same_error(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """The caller gets one error for a store that refuses and one that answers nothing.
-
-        The second write is carried out all the same, which the caller can't know.
-        """
+        """A write whose response is lost takes effect all the same, which the client can't know."""
         store.refuse = True
         with pytest.raises(PlatformUnavailableError):
             await client.list("a/")
@@ -72,7 +69,7 @@
     async def test_renewal_of_an_expired_lease_fails(
         self, client: StoreClient, store: StandinStore
     ) -> None:
-        """A lease that has ended is told apart from a store that does not answer."""
+        """An expired lease raises another error than a store that does not answer."""
         lease = await client.grant_lease(5.0)
         await client.renew_lease(lease)
         await client.put("a/1", b"1", lease)
