--- a/tests/platform/test_ranges.py
+++ b/tests/platform/test_ranges.py
@@ -1,4 +1,4 @@
-"""Tests of reading many entries by what has changed."""
+"""Tests of reading large ranges by their changes."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 
 
 def as_taken(snapshot: Reading) -> Taken:
-    """Return a reading as a node has it."""
+    """Return a snapshot as a node stores it."""
     return Taken(snapshot, read_clock(), True)
 
 
@@ -32,7 +32,7 @@
 
 
 def add_endpoints(store: StandinStore, count: int) -> None:
-    """List endpoints."""
+    """Add ``count`` endpoints."""
     for number in range(count):
         store.put(f"{PREFIX}{number:04}", number)
 
@@ -43,7 +43,7 @@
     async def test_small_range_is_read_in_full(
         self, reader: RangeReader, store: StandinStore
     ) -> None:
-        """One page costs one call, and needs no history."""
+        """One page costs one call and needs no history."""
         add_endpoints(store, 20)
         known = as_taken(await reader.read(None))
         store.remove(f"{PREFIX}0003")
@@ -53,10 +53,10 @@
     async def test_large_range_is_read_by_its_changes(
         self, reader: RangeReader, store: StandinStore
     ) -> None:
-        """An endpoint leaves among 3,000: the reader hears of it by one call and a few bytes.
+        """Guards against full reads of 3,000 endpoints, which filled the links between regions.
 
-        Read whole by several nodes across regions, the list filled the links between them, and
-        the word of leaving came seconds late.
+        The departure of an endpoint was then seen seconds late. Its change is one call and a few
+        bytes.
         """
         add_endpoints(store, 3000)
         known = as_taken(await reader.read(None))
@@ -74,7 +74,7 @@
     async def test_compacted_history_causes_a_full_read(
         self, reader: RangeReader, store: StandinStore
     ) -> None:
-        """The store forgot what has changed: nothing is missed."""
+        """No change is missed when the store has compacted the history."""
         add_endpoints(store, LARGE_RANGE_ITEMS + 1)
         known = as_taken(await reader.read(None))
         store.remove(f"{PREFIX}0003")
@@ -86,9 +86,9 @@
     async def test_changes_between_pages_are_not_missed(
         self, reader: RangeReader, store: StandinStore, seed: int
     ) -> None:
-        """Entries change while a list is read page by page, on pages read before and after.
+        """Guards against changes lost while a list is read page by page.
 
-        The next reading, by changes alone, has every one of them.
+        Entries change on pages read before and after; the next read, by changes alone, has all.
         """
         random = Random(seed)
         store.page = 100
