--- a/tests/platform/test_agent_documents.py
+++ b/tests/platform/test_agent_documents.py
@@ -1,4 +1,4 @@
-"""Tests of what agents are told of the operators' documents."""
+"""Tests of the reduced documents for agents."""
 
 import json
 
@@ -20,7 +20,7 @@
     """Tests for ``AgentDocuments``."""
 
     def test_change_of_rules_is_not_sent(self) -> None:
-        """A storm of changes to 1,500 rules: the agents' links carry weights, and nothing of it."""
+        """Guards the agents' links, which carry weights, against changes to 1,500 rules."""
         documents = AgentDocuments()
         version = Item("op/version/m", b"{}", 5)
         first = documents.reduce((build_configuration(3, 1500), version))
@@ -28,7 +28,7 @@
         assert sum(len(each.value or b"") for each in first) < 1000
 
     def test_change_of_services_is_sent(self) -> None:
-        """A new origin reaches agents with its own revision, in a form that they read."""
+        """A new service reaches agents with its own revision, in a form that they can decode."""
         documents = AgentDocuments()
         documents.reduce((build_configuration(3, 10),))
         (item,) = documents.reduce((build_configuration(4, 10, [*SERVICES, {"name": "other"}]),))
@@ -36,6 +36,6 @@
         assert set(decode_table(item.value or b"", item.revision).services) == {"plain", "other"}
 
     def test_malformed_configuration_is_passed_on(self) -> None:
-        """Whoever reads it says what is wrong with it; the node that passes it on goes on."""
+        """The reader logs the error; the node that passes it on keeps running."""
         item = Item("op/config", b"{", 3)
         assert AgentDocuments().reduce((item,)) == (item,)
