--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' store and endpoints, which misbehave on request."""
+"""Stand-ins of the platform's store and endpoints, with faults that tests can cause."""
 
 import asyncio
 import base64
@@ -21,7 +21,7 @@
 LOOPBACK = "127.0.0.1"
 
 FIRST_PORT = 20000
-"""From where programs under test listen: below the ports that the kernel gives to connections."""
+"""First port for programs under test, below the kernel's range for outgoing connections."""
 
 PORTS_PER_WORKER = 1000
 
@@ -32,15 +32,15 @@
 def find_free_port() -> int:
     """Return a port of the loopback address on which nothing listens, a new one each time.
 
-    A port that the kernel picked may be given to a connection of another test before the program
-    listens there; the program then ends, and its test waits for it until the time is up.
+    A port picked by the kernel may be given to a connection of another test before the program
+    listens there; the program then exits, and its test waits until the timeout.
     """
     for port in _ports:
         try:
             with socket.create_server((LOOPBACK, port)):
                 return port
         except OSError:
-            continue  # another program listens there
+            continue  # port in use
     raise AssertionError("no port is free")
 
 
@@ -48,8 +48,8 @@
 class StandinStore:
     """The store's calls over a dictionary.
 
-    :param refuse: answers 503 to everything and does nothing.
-    :param lost_answers: carries out this many calls and closes their connections without an answer.
+    :param refuse: whether to answer 503 to every call and do nothing.
+    :param lost_answers: number of calls to carry out without a response, closing their connections.
     :param compacted: revisions up to this one are gone from the history.
     """
 
@@ -197,7 +197,7 @@
 
 @dataclass
 class Received:
-    """A request as the stand-in of an endpoint read it."""
+    """A request as a stand-in endpoint read it."""
 
     line: str
     headers: dict[str, str]
@@ -206,12 +206,12 @@
 
 @dataclass
 class StandinEndpoint:
-    """An endpoint that writes exactly the bytes that a test gives it.
+    """An endpoint that writes exactly the bytes that a test sets.
 
-    :param answers: one for each request; ``{id}`` stands for the request's id. ``None`` closes
-        the connection without an answer; ``b"RESET"`` at the end resets it.
-    :param pause: seconds after each part of an answer.
-    :param disconnects: answers during which the other side closed.
+    :param answers: one per request; ``{id}`` stands for the request's id. ``None`` closes the
+        connection without a response; ``b"RESET"`` at the end resets it.
+    :param pause: seconds after each part of a response.
+    :param disconnects: number of responses during which the other side closed.
     """
 
     answers: list[bytes | None] = field(default_factory=list)
@@ -263,20 +263,20 @@
         return b"content-length" in data.lower() or b"chunked" in data.lower()
 
     def next_answer(self) -> bytes | None:
-        """Return what the next request is answered with."""
+        """Return the response to the next request."""
         return self.answers.pop(0) if self.answers else full_response(b"ok")
 
     async def _maybe_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
-        """Crash if the request is one that does so; return whether it was."""
+        """Crash if the request causes it; return whether it did."""
         return False
 
 
 @dataclass
 class LimitingEndpoint(StandinEndpoint):
-    """An endpoint that names a rate limit, and counts what it gets.
+    """An endpoint that names a rate limit and records its requests.
 
     :param limit: as written in the header; ``None`` names none.
-    :param begun_at: when each request came, on the loop's clock.
+    :param begun_at: arrival of each request, on the loop's clock.
     """
 
     limit: str | None = None
@@ -289,15 +289,15 @@
         return full_response(b"ok", extra=extra)
 
     def get_named_limit(self) -> str | None:
-        """Return the limit that the next answer names."""
+        """Return the limit that the next response names."""
         return self.limit
 
     def count_between(self, start: float, end: float) -> int:
-        """Return how many requests came in a span of time."""
+        """Return the number of requests in a period."""
         return sum(start < at <= end for at in self.begun_at)
 
     def count_peak(self, seconds: float, after: float) -> int:
-        """Return the most requests that came in any such span, of those after a time."""
+        """Return the largest number of requests in any ``seconds`` after a time."""
         counted = [at for at in self.begun_at if at > after]
         return max(
             (sum(0 <= at - first < seconds for at in counted) for first in counted), default=0
@@ -305,10 +305,10 @@
 
 
 class CrashSign(Enum):
-    """What the other side sees of a crash.
+    """How the other side sees a crash.
 
-    ``RESET`` comes before any byte of an answer, ``CUT`` behind a first event, and ``SILENT``
-    leaves the connections open without a word, as of a host that lost power.
+    ``RESET`` comes before the first byte of a response, ``CUT`` after a first event. ``SILENT``
+    leaves the connections open, as after a power loss of the host.
     """
 
     RESET = "reset"
@@ -318,16 +318,16 @@
 
 @dataclass
 class CrashingEndpoint(StandinEndpoint):
-    """An endpoint that crashes when it begins a request with certain words in its body.
+    """An endpoint that crashes when it starts a request with a certain body.
 
-    It is back some time later under another id, as it is after a crash on the platform.
+    It restarts some time later under another id, as after a crash on the platform.
 
-    :param store: where it lists itself.
-    :param crash_on: words in the body of a request that crashes it.
-    :param crash_seconds: from its begin to the crash.
-    :param down_seconds: from the crash until it listens again.
-    :param begun_at: when each request that crashes it was begun, on the loop's clock.
-    :param crashed_at: when it crashed.
+    :param store: where it registers itself.
+    :param crash_on: part of the body of a request that crashes it.
+    :param crash_seconds: time from the start of the request to the crash.
+    :param down_seconds: time from the crash until it listens again.
+    :param begun_at: start of each request that crashes it, on the loop's clock.
+    :param crashed_at: times of the crashes.
     """
 
     store: StandinStore = field(default_factory=StandinStore)
@@ -343,7 +343,7 @@
     _starts: int = 0
 
     async def start(self) -> None:
-        """Listen, at the same address each time, and list the new incarnation."""
+        """Listen, at the same address each time, and register the new incarnation."""
         port = int(self.address.rpartition(":")[2] or find_free_port())
         self._server = await asyncio.start_server(self.serve, LOOPBACK, port)
         self.address = f"{LOOPBACK}:{self._server.sockets[0].getsockname()[1]}"
@@ -353,7 +353,7 @@
         self.store.put(key, {**fields, "state": "ready", "sequence": 1})
 
     async def stop(self) -> None:
-        """Stop listening and cut all connections."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
@@ -365,7 +365,7 @@
         try:
             await super().serve(reader, writer)
         except asyncio.CancelledError:
-            return  # the test is over
+            return  # the test has ended
         finally:
             self._writers.discard(writer)
 
@@ -399,7 +399,7 @@
                     _reset(each)
 
     async def lose_power(self) -> None:
-        """End as if power were lost, whatever runs here, and come back."""
+        """Stop at once, whatever is in progress, and restart."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -413,14 +413,14 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close so that the other side sees a reset and not an end."""
+    """Close with a reset in place of a clean end."""
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 def full_response(body: bytes, status: str = "200 OK", extra: bytes = b"") -> bytes:
-    """Return a framed answer of this request's own."""
+    """Return a response with a length that matches the request."""
     return (
         b"HTTP/1.1 " + status.encode() + b"\r\nX-Attempt-Id: {id}\r\nX-Response-Stamp: s1\r\n"
         b"Content-Length: " + str(len(body)).encode() + b"\r\n" + extra + b"\r\n" + body
@@ -428,7 +428,7 @@
 
 
 def stream_response(*events: bytes, end: bool = True) -> bytes:
-    """Return a chunked event stream of this request's own."""
+    """Return a chunked event stream that matches the request."""
     head = (
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Stamp: s1\r\n"
         b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -471,5 +471,5 @@
 
 @pytest.fixture
 async def session(stack: AsyncExitStack) -> ClientSession:
-    """Open a session that sends each request once."""
+    """Open a session that never resends a request."""
     return await stack.enter_async_context(open_no_retry_session())
--- a/tests/platform/test_rate_limits.py
+++ b/tests/platform/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that name a rate limit, and what they get from several entry nodes."""
+"""Tests of endpoints that name a rate limit and get requests from several entry nodes."""
 
 import asyncio
 import signal
@@ -20,13 +20,13 @@
 SEED = 7
 WINDOW_SECONDS = 4.0
 PROPAGATION_SECONDS = 0.5
-"""From the first answer with a limit until every node must keep to it."""
+"""Time after the first response with a limit by which every node must apply it."""
 
 SETTLE_SECONDS = 3.0
-"""From the first answer with a limit until what the endpoint gets is counted at the lower end."""
+"""Time after the first response with a limit from which the least rate is checked."""
 
 USED_SHARE = 0.7
-"""Part of a limit that is used at least while callers are there."""
+"""Least part of a limit that is used while there are enough requests."""
 
 
 @dataclass
@@ -40,7 +40,7 @@
     numbers: Iterator[int] = field(default_factory=count)
 
     async def send(self, path: str = "/stream/x", entry: Entry | None = None) -> tuple[int, str]:
-        """Send a request and return its status and when to come back."""
+        """Send a request, and return its status and ``Retry-After``."""
         node = entry or self.random.choice(self.entries)
         headers = {"Host": "shop.example", "X-Attempt-Id": f"r{next(self.numbers)}"}
         headers |= KEY | {"X-Deadline-Ms": "3000"}
@@ -55,7 +55,7 @@
     async def load(
         self, rate: float, seconds: float, entry: Entry | None = None
     ) -> list[tuple[int, str]]:
-        """Send so many requests a second at random nodes, or at one."""
+        """Send ``rate`` requests a second to random nodes, or to one."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         tasks = []
@@ -66,13 +66,13 @@
 
 
 def max_allowed(limit: float) -> int:
-    """Return the requests that an endpoint may get in any window."""
+    """Return the largest number of requests that an endpoint may get in any window."""
     return int(1.5 * limit * WINDOW_SECONDS + 5)
 
 
 @pytest.fixture
 async def fleet(store: StandinStore, tmp_path: Path) -> AsyncIterator[Fleet]:
-    """Run three entry nodes of two zones, and two endpoints of which most are near the first."""
+    """Run three entry nodes of two zones and an endpoint in each zone."""
     store.put("op/config", CONFIGURATION)
     async with AsyncExitStack() as stack:
         client = await stack.enter_async_context(ClientSession())
@@ -92,7 +92,7 @@
 async def test_all_nodes_together_keep_to_the_limit_of_an_endpoint(
     fleet: Fleet, limit: float
 ) -> None:
-    """Guards against nodes that send to an endpoint in need as if it had named no limit."""
+    """Guards against nodes that ignore the limit of an overloaded endpoint."""
     limited = fleet.endpoints[0]
     await fleet.load(16.0, 1.0)
     limited.limit = str(limit)
@@ -106,7 +106,7 @@
 
 
 async def list_limits(fleet: Fleet, entry: Entry) -> list[dict[str, Any]]:
-    """Return the limits in force, as operators see them at one node."""
+    """Return the limits in force that one node shows to operators."""
     node = entry.settings
     url = f"http://{node['ip']}:{node['internal_port']}/operators/v1/limits"
     async with fleet.client.get(url) as response:
@@ -115,7 +115,7 @@
 
 
 async def wait_for_limits(fleet: Fleet, expected: dict[str, float]) -> list[dict[str, Any]]:
-    """Have callers come until every node knows these limits, by endpoint, and no others."""
+    """Send requests until every node has exactly these limits, by endpoint."""
     async with asyncio.timeout(30):
         while True:
             await fleet.load(16.0, 0.3)
@@ -125,7 +125,7 @@
 
 
 async def test_every_node_applies_a_limit_its_changes_and_its_removal(fleet: Fleet) -> None:
-    """Guards against nodes that keep to what a limit was, or to one that has ended."""
+    """Guards against nodes that apply an outdated or removed limit."""
     limited = fleet.endpoints[0]
     for text, rate in (("5", 5.0), ("1.8", 1.8), ("20", 20.0)):
         limited.limit = text
@@ -135,7 +135,7 @@
 
 
 async def test_callers_beyond_the_limits_get_retry_after(fleet: Fleet) -> None:
-    """Guards against callers that wait for a turn they cannot have, or all return at once."""
+    """Guards against callers that wait for a turn they cannot get, or all return at once."""
     for each in fleet.endpoints:
         each.limit = "0.5"
     await wait_for_limits(fleet, {"i-0": 0.5, "i-1": 0.5})
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("fault", ["killed", "stopped"])
 async def test_failed_limiter_is_replaced(fleet: Fleet, fault: str) -> None:
-    """Guards against a limit that nobody grants any more, and against one granted twice."""
+    """Guards against a limit that no node grants any more, or that two nodes grant."""
     limited = fleet.endpoints[0]
     limited.limit = "1.8"
     (row,) = await wait_for_limits(fleet, {"i-0": 1.8})
@@ -172,7 +172,7 @@
 
 
 async def test_limits_hold_while_the_store_is_down(fleet: Fleet, store: Any) -> None:
-    """Guards against limits that are kept to only as long as the store is reached."""
+    """Guards against limits that are applied only while the store is reachable."""
     limited = fleet.endpoints[0]
     store.refuse = True
     limited.limit = "1.8"
--- a/tests/platform/test_standins.py
+++ b/tests/platform/test_standins.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins themselves, where a fault of theirs would pass for one of the program."""
+"""Tests of the stand-ins, whose faults would otherwise look like faults of the programs."""
 
 import asyncio
 import socket
@@ -14,10 +14,10 @@
 
     @pytest.mark.parametrize("reset", [False, True])
     async def test_disconnect_is_counted(self, endpoint: StandinEndpoint, reset: bool) -> None:
-        """A caller leaves in the middle of a stream.
+        """Guards against a disconnect that is missed because it shows as a reset.
 
-        If an event had arrived that it had not read, its system sends a reset in place of an end.
-        Counted only after an end, one of some hundred runs saw no caller leave.
+        A caller that leaves with an event unread resets the connection. Counting only clean closes
+        missed one of some hundred.
         """
         endpoint.pause = 0.05
         endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(100)))]
