--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' store and endpoints, which misbehave on request."""
+"""Stand-ins of the platform's store and endpoints, with faults that tests can cause."""
 
 import asyncio
 import base64
@@ -16,12 +16,12 @@
 import pytest
 from aiohttp import ClientSession, web
 
-from wrenloft_platform._serve import open_once_session
+from wrenloft_platform._serve import open_no_retry_session
 
 LOOPBACK = "127.0.0.1"
 
 FIRST_PORT = 20000
-"""From where programs under test listen: below the ports that the kernel gives to connections."""
+"""First port for programs under test, below the kernel's range for outgoing connections."""
 
 PORTS_PER_WORKER = 1000
 
@@ -32,15 +32,15 @@
 def find_free_port() -> int:
     """Return a port of the loopback address on which nothing listens, a new one each time.
 
-    A port that the kernel picked may be given to a connection of another test before the program
-    listens there; the program then ends, and its test waits for it until the time is up.
+    A port picked by the kernel may be given to a connection of another test before the program
+    listens there; the program then exits, and its test waits until the timeout.
     """
     for port in _ports:
         try:
             with socket.create_server((LOOPBACK, port)):
                 return port
         except OSError:
-            continue  # another program listens there
+            continue  # port in use
     raise AssertionError("no port is free")
 
 
@@ -48,9 +48,9 @@
 class StandinStore:
     """The store's calls over a dictionary.
 
-    :param refuse: answers 503 to everything and does nothing.
-    :param lose: carries out this many calls and closes their connections without an answer.
-    :param forgotten: revisions up to this one are gone from the history.
+    :param refuse: whether to answer 503 to every call and do nothing.
+    :param lost_answers: number of calls to carry out without a response, closing their connections.
+    :param compacted: revisions up to this one are gone from the history.
     """
 
     items: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -58,8 +58,8 @@
     leases: dict[int, int] = field(default_factory=dict)
     revision: int = 10
     refuse: bool = False
-    lose: int = 0
-    forgotten: int = 0
+    lost_answers: int = 0
+    compacted: int = 0
     page: int = 500
     calls: list[str] = field(default_factory=list)
     address: str = ""
@@ -94,7 +94,7 @@
 
     def build(self) -> web.Application:
         """Return the application that serves the calls."""
-        app = web.Application(middlewares=[self._misbehave])
+        app = web.Application(middlewares=[self._inject_faults])
         app.add_routes(
             [
                 web.get("/kv-key", self._read),
@@ -109,13 +109,13 @@
         return app
 
     @web.middleware
-    async def _misbehave(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
         self.calls.append(f"{request.method} {request.path}")
         if self.refuse:
             return web.Response(status=503)
         response: web.StreamResponse = await handler(request)
-        if self.lose > 0:
-            self.lose -= 1
+        if self.lost_answers > 0:
+            self.lost_answers -= 1
             assert request.transport is not None
             request.transport.close()
         return response
@@ -141,7 +141,7 @@
 
     async def _watch(self, request: web.Request) -> web.Response:
         after = int(request.query["after"])
-        if after < self.forgotten:
+        if after < self.compacted:
             return web.json_response({}, status=410)
         prefix = request.query["prefix"]
         changed = self.changed
@@ -197,7 +197,7 @@
 
 @dataclass
 class Received:
-    """A request as the stand-in of an endpoint read it."""
+    """A request as a stand-in endpoint read it."""
 
     line: str
     headers: dict[str, str]
@@ -206,19 +206,19 @@
 
 @dataclass
 class StandinEndpoint:
-    """An endpoint that writes exactly the bytes that a test gives it.
+    """An endpoint that writes exactly the bytes that a test sets.
 
-    :param answers: one for each request; ``{id}`` stands for the request's id. ``None`` closes
-        the connection without an answer; ``b"RESET"`` at the end resets it.
-    :param pause: seconds after each part of an answer.
-    :param left: answers during which the other side closed.
+    :param answers: one per request; ``{id}`` stands for the request's id. ``None`` closes the
+        connection without a response; ``b"RESET"`` at the end resets it.
+    :param pause: seconds after each part of a response.
+    :param disconnects: number of responses during which the other side closed.
     """
 
     answers: list[bytes | None] = field(default_factory=list)
     received: list[Received] = field(default_factory=list)
     address: str = ""
     pause: float = 0.0
-    left: int = 0
+    disconnects: int = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the requests of one connection."""
@@ -236,9 +236,9 @@
         body = await reader.readexactly(int(headers.get("content-length", "0")))
         received = Received(line, headers, body)
         self.received.append(received)
-        if await self._may_crash(received, writer):
+        if await self._maybe_crash(received, writer):
             return False
-        answer = self.pick_answer()
+        answer = self.next_answer()
         if answer is None:
             return False
         reset = answer.endswith(b"RESET")
@@ -251,10 +251,10 @@
                 await asyncio.sleep(self.pause)
             except ConnectionError:
                 # The other side closed with an event unread, which resets the connection.
-                self.left += 1
+                self.disconnects += 1
                 raise
             if reader.at_eof() or reader.exception() is not None:
-                self.left += 1
+                self.disconnects += 1
                 return False
         if reset:
             await asyncio.sleep(0.05)
@@ -262,42 +262,42 @@
             return False
         return b"content-length" in data.lower() or b"chunked" in data.lower()
 
-    def pick_answer(self) -> bytes | None:
-        """Return what the next request is answered with."""
-        return self.answers.pop(0) if self.answers else whole_answer(b"ok")
+    def next_answer(self) -> bytes | None:
+        """Return the response to the next request."""
+        return self.answers.pop(0) if self.answers else full_response(b"ok")
 
-    async def _may_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
-        """Crash if the request is one that does so; return whether it was."""
+    async def _maybe_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
+        """Crash if the request causes it; return whether it did."""
         return False
 
 
 @dataclass
 class LimitingEndpoint(StandinEndpoint):
-    """An endpoint that names a rate limit, and counts what it gets.
+    """An endpoint that names a rate limit and records its requests.
 
     :param limit: as written in the header; ``None`` names none.
-    :param begun_at: when each request came, on the loop's clock.
+    :param begun_at: arrival of each request, on the loop's clock.
     """
 
     limit: str | None = None
     begun_at: list[float] = field(default_factory=list)
 
-    def pick_answer(self) -> bytes | None:
+    def next_answer(self) -> bytes | None:
         self.begun_at.append(asyncio.get_running_loop().time())
-        named = self.name_limit()
+        named = self.get_named_limit()
         extra = b"" if named is None else f"Server-Limit: {named}\r\n".encode()
-        return whole_answer(b"ok", extra=extra)
+        return full_response(b"ok", extra=extra)
 
-    def name_limit(self) -> str | None:
-        """Return the limit that the next answer names."""
+    def get_named_limit(self) -> str | None:
+        """Return the limit that the next response names."""
         return self.limit
 
     def count_between(self, start: float, end: float) -> int:
-        """Return how many requests came in a span of time."""
+        """Return the number of requests in a period."""
         return sum(start < at <= end for at in self.begun_at)
 
-    def count_most(self, seconds: float, after: float) -> int:
-        """Return the most requests that came in any such span, of those after a time."""
+    def count_peak(self, seconds: float, after: float) -> int:
+        """Return the largest number of requests in any ``seconds`` after a time."""
         counted = [at for at in self.begun_at if at > after]
         return max(
             (sum(0 <= at - first < seconds for at in counted) for first in counted), default=0
@@ -305,10 +305,10 @@
 
 
 class CrashSign(Enum):
-    """What the other side sees of a crash.
+    """How the other side sees a crash.
 
-    ``RESET`` comes before any byte of an answer, ``CUT`` behind a first event, and ``SILENT``
-    leaves the connections open without a word, as of a host that lost power.
+    ``RESET`` comes before the first byte of a response, ``CUT`` after a first event. ``SILENT``
+    leaves the connections open, as after a power loss of the host.
     """
 
     RESET = "reset"
@@ -318,16 +318,16 @@
 
 @dataclass
 class CrashingEndpoint(StandinEndpoint):
-    """An endpoint that crashes when it begins a request with certain words in its body.
+    """An endpoint that crashes when it starts a request with a certain body.
 
-    It is back some time later under another id, as it is after a crash on the platform.
+    It restarts some time later under another id, as after a crash on the platform.
 
-    :param store: where it lists itself.
-    :param crash_on: words in the body of a request that crashes it.
-    :param crash_seconds: from its begin to the crash.
-    :param down_seconds: from the crash until it listens again.
-    :param begun_at: when each request that crashes it was begun, on the loop's clock.
-    :param crashed_at: when it crashed.
+    :param store: where it registers itself.
+    :param crash_on: part of the body of a request that crashes it.
+    :param crash_seconds: time from the start of the request to the crash.
+    :param down_seconds: time from the crash until it listens again.
+    :param begun_at: start of each request that crashes it, on the loop's clock.
+    :param crashed_at: times of the crashes.
     """
 
     store: StandinStore = field(default_factory=StandinStore)
@@ -343,7 +343,7 @@
     _starts: int = 0
 
     async def start(self) -> None:
-        """Listen, at the same address each time, and list the new incarnation."""
+        """Listen, at the same address each time, and register the new incarnation."""
         port = int(self.address.rpartition(":")[2] or find_free_port())
         self._server = await asyncio.start_server(self.serve, LOOPBACK, port)
         self.address = f"{LOOPBACK}:{self._server.sockets[0].getsockname()[1]}"
@@ -353,7 +353,7 @@
         self.store.put(key, {**fields, "state": "ready", "sequence": 1})
 
     async def stop(self) -> None:
-        """Stop listening and cut all connections."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
@@ -365,11 +365,11 @@
         try:
             await super().serve(reader, writer)
         except asyncio.CancelledError:
-            return  # the test is over
+            return  # the test has ended
         finally:
             self._writers.discard(writer)
 
-    async def _may_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
+    async def _maybe_crash(self, received: Received, writer: asyncio.StreamWriter) -> bool:
         if self.crash_on not in received.body:
             return False
         await self._crash(received, writer)
@@ -380,7 +380,7 @@
         self.begun_at.append(loop.time())
         if self.sign is CrashSign.CUT:
             request_id = received.headers.get("x-attempt-id", "").encode()
-            answer = stream_answer(b"id: 0\n\n", end=False).removesuffix(b"RESET")
+            answer = stream_response(b"id: 0\n\n", end=False).removesuffix(b"RESET")
             writer.write(answer.replace(b"{id}", request_id))
         await asyncio.sleep(self.crash_seconds)
         if self._server is None:
@@ -391,44 +391,44 @@
         silent = set(self._writers)
         if self.sign is not CrashSign.SILENT:
             await self.stop()
-        await self._come_back()
+        await self._restart()
         if self.sign is CrashSign.SILENT:
             await asyncio.sleep(self.down_seconds * 4)
             for each in silent:
                 if not each.is_closing():
                     _reset(each)
 
-    async def fall(self) -> None:
-        """End as if power were lost, whatever runs here, and come back."""
+    async def lose_power(self) -> None:
+        """Stop at once, whatever is in progress, and restart."""
         if self._server is not None:
             self._server.close()
             self._server = None
             await self.stop()
-            await self._come_back()
+            await self._restart()
 
-    async def _come_back(self) -> None:
+    async def _restart(self) -> None:
         await asyncio.sleep(self.down_seconds)
         self.store.remove(f"servers/{self.name}-{self._starts}")
         await self.start()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close so that the other side sees a reset and not an end."""
+    """Close with a reset in place of a clean end."""
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-def whole_answer(body: bytes, status: str = "200 OK", extra: bytes = b"") -> bytes:
-    """Return a framed answer of this request's own."""
+def full_response(body: bytes, status: str = "200 OK", extra: bytes = b"") -> bytes:
+    """Return a response with a length that matches the request."""
     return (
         b"HTTP/1.1 " + status.encode() + b"\r\nX-Attempt-Id: {id}\r\nX-Response-Stamp: s1\r\n"
         b"Content-Length: " + str(len(body)).encode() + b"\r\n" + extra + b"\r\n" + body
     )
 
 
-def stream_answer(*events: bytes, end: bool = True) -> bytes:
-    """Return a chunked event stream of this request's own."""
+def stream_response(*events: bytes, end: bool = True) -> bytes:
+    """Return a chunked event stream that matches the request."""
     head = (
         b"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Stamp: s1\r\n"
         b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -471,5 +471,5 @@
 
 @pytest.fixture
 async def session(stack: AsyncExitStack) -> ClientSession:
-    """Open a session that sends each request once."""
-    return await stack.enter_async_context(open_once_session())
+    """Open a session that never resends a request."""
+    return await stack.enter_async_context(open_no_retry_session())
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -19,8 +19,8 @@
     StandinEndpoint,
     StandinStore,
     find_free_port,
-    stream_answer,
-    whole_answer,
+    full_response,
+    stream_response,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -68,7 +68,7 @@
 
 
 def write_settings(path: Path, store: str, **changes: Any) -> dict[str, Any]:
-    """Write an entry node's settings, with ports of its own, and return them."""
+    """Write an entry node's settings with its own ports, and return them."""
     settings: dict[str, Any] = {
         "name": "entry-1",
         "ip": LOOPBACK,
@@ -107,7 +107,7 @@
     settings: dict[str, Any]
     client: ClientSession
 
-    async def ask(self, path: str, **options: Any) -> tuple[int, bytes]:
+    async def send(self, path: str, **options: Any) -> tuple[int, bytes]:
         """Send one request to the front."""
         headers = {"Host": "shop.example", "X-Attempt-Id": "r1", **options.pop("headers", {})}
         url = f"http://{self.settings['front']}{path}"
@@ -115,7 +115,7 @@
             return response.status, await response.read()
 
     async def get_status(self, listener: str, path: str) -> int:
-        """Ask one of the other listeners; 0 if it is not there."""
+        """Return the status of a request to another listener, or 0 if it does not listen."""
         try:
             async with self.client.get(f"http://{self.settings[listener]}{path}") as response:
                 return response.status
@@ -123,7 +123,7 @@
             return 0
 
     async def wait_ready(self) -> None:
-        """Wait until callers may be sent here."""
+        """Wait until the node is ready."""
         async with asyncio.timeout(20):
             while await self.get_status("readiness", "/readyz") != 200:
                 await asyncio.sleep(0.05)
@@ -168,62 +168,63 @@
     ) -> None:
         """The endpoint gets the organisation's name and never the key."""
         async with asyncio.timeout(10):
-            while (answer := await entry.ask("/once/x", headers=KEY, data=b"b"))[0] == 503:
+            while (answer := await entry.send("/once/x", headers=KEY, data=b"b"))[0] == 503:
                 await asyncio.sleep(0.1)
         assert answer == (200, b"ok")
         assert endpoint.received[-1].headers["x-tenant"] == "org1"
         assert "authorization" not in endpoint.received[-1].headers
 
-    async def test_refuses_what_the_configuration_does_not_allow(
+    async def test_rejects_unknown_route_unknown_key_and_large_body(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
-        """Unknown route, unknown key and a body beyond the limit get their own answers."""
-        assert (await entry.ask("/none/x", headers=KEY))[0] == 404
-        assert (await entry.ask("/once/x", headers={"Authorization": "Bearer old"}))[0] == 401
-        assert (await entry.ask("/once/x", headers=KEY, data=b"x" * 1001))[0] == 413
+        """Each of the three gets its own status."""
+        assert (await entry.send("/none/x", headers=KEY))[0] == 404
+        assert (await entry.send("/once/x", headers={"Authorization": "Bearer old"}))[0] == 401
+        assert (await entry.send("/once/x", headers=KEY, data=b"x" * 1001))[0] == 413
         assert not endpoint.received
 
-    async def test_key_taken_away_is_refused(self, entry: Entry, store: StandinStore) -> None:
-        """A new configuration without a key is in force soon after the store took it."""
+    async def test_revoked_key_is_refused(self, entry: Entry, store: StandinStore) -> None:
+        """A configuration without a key takes effect soon after the store has it."""
         changed = {**CONFIGURATION, "version": 9, "tenants": [{"name": "org1", "apiKeys": ["k2"]}]}
         store.put("op/config", changed)
         async with asyncio.timeout(5):
-            while (await entry.ask("/once/x", headers=KEY))[0] != 401:
+            while (await entry.send("/once/x", headers=KEY))[0] != 401:
                 await asyncio.sleep(0.05)
 
-    async def test_store_that_turns_away_ends_keys_but_not_public_routes(
+    async def test_store_outage_expires_keys_but_not_public_routes(
         self, entry: Entry, store: StandinStore, endpoint: StandinEndpoint
     ) -> None:
-        """Without proof that a key is still good, its requests get 503; public ones are served.
+        """Guards against keys that stay valid without proof that they have not been revoked.
 
-        The store refuses this node for longer than a key may outlive its removal.
+        The store refuses this node for longer than a revoked key may stay valid. Requests with a
+        key get 503; public ones are served.
         """
         store.refuse = True
         async with asyncio.timeout(15):
-            while (await entry.ask("/once/x", headers=KEY))[0] != 503:
+            while (await entry.send("/once/x", headers=KEY))[0] != 503:
                 await asyncio.sleep(0.1)
-        endpoint.answers = [stream_answer(b"id: 0\n\n")]
-        assert (await entry.ask("/stream/x"))[0] == 200
+        endpoint.answers = [stream_response(b"id: 0\n\n")]
+        assert (await entry.send("/stream/x"))[0] == 200
         assert await entry.get_status("readiness", "/readyz") == 503
 
-    async def test_names_itself_to_callers(self, entry: Entry) -> None:
-        """A caller that asks where to connect gets this node and a time to keep the answer."""
+    async def test_directory_returns_this_node(self, entry: Entry) -> None:
+        """A lookup returns this node and the time for which the response can be cached."""
         url = f"http://{entry.settings['directory']}/resolution?name=x&region=r1&zone=z1"
         async with entry.client.get(url) as response:
             answer = await response.json()
         assert answer["addresses"] == [entry.settings["front"]]
         assert 0 < answer["ttlS"] <= 5
 
-    async def test_stop_cuts_no_stream(
+    async def test_drain_completes_open_streams(
         self, entry: Entry, endpoint: StandinEndpoint, store: StandinStore
     ) -> None:
-        """A stream that runs when the signal comes reaches its caller whole.
+        """Guards against a stop that cuts a stream in progress.
 
-        The node is out of the directory and unready at once, and ends by itself.
+        The node is out of the directory and unready at once, and exits by itself.
         """
         endpoint.pause = 0.6
-        endpoint.answers = [stream_answer(*(b"id: %d\n\n" % n for n in range(4)))]
-        stream = asyncio.create_task(entry.ask("/stream/x"))
+        endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(4)))]
+        stream = asyncio.create_task(entry.send("/stream/x"))
         async with asyncio.timeout(5):
             while not endpoint.received:
                 await asyncio.sleep(0.02)
@@ -235,17 +236,16 @@
             assert await entry.process.wait() == 0
         assert not any(key.startswith("wrenloft/entry/") for key in store.items)
 
-    async def test_late_request_during_a_stop_is_refused_as_not_run(
+    async def test_request_late_in_the_drain_is_refused_as_not_run(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
-        """A request that could not end within the grace time is not begun.
+        """Guards against starting a request that the end of the process would cut.
 
-        It comes on a kept connection three seconds after the signal, while a stream still runs;
-        begun, it would be cut when the process ends.
+        It comes on a kept-alive connection three seconds after the signal, during a stream.
         """
         endpoint.pause = 0.9
-        endpoint.answers = [stream_answer(*(b"id: %d\n\n" % n for n in range(5)))]
-        stream = asyncio.create_task(entry.ask("/stream/x"))
+        endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(5)))]
+        stream = asyncio.create_task(entry.send("/stream/x"))
         host, _, port = entry.settings["front"].partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         entry.process.send_signal(signal.SIGTERM)
@@ -256,26 +256,23 @@
         assert (await stream)[0] == 200
         assert len(endpoint.received) == 1
 
-    async def test_caller_that_leaves_ends_the_work(
+    async def test_disconnect_of_the_caller_cancels_the_request(
         self, entry: Entry, endpoint: StandinEndpoint
     ) -> None:
-        """The endpoint's connection closes soon after the caller's.
-
-        The stream would have gone on for twenty seconds.
-        """
+        """Guards against a stream of twenty seconds that runs on after its caller disconnected."""
         endpoint.pause = 0.2
-        endpoint.answers = [stream_answer(*(b"id: %d\n\n" % n for n in range(100)))]
+        endpoint.answers = [stream_response(*(b"id: %d\n\n" % n for n in range(100)))]
         with pytest.raises((TimeoutError, ClientError)):
             async with asyncio.timeout(1.0):
-                await entry.ask("/stream/x")
+                await entry.send("/stream/x")
         async with asyncio.timeout(2.0):
-            while not endpoint.left:
+            while not endpoint.disconnects:
                 await asyncio.sleep(0.05)
 
-    async def test_bad_settings_on_reload_change_nothing(
+    async def test_malformed_settings_on_reload_are_ignored(
         self, entry: Entry, tmp_path: Path
     ) -> None:
-        """A file that became malformed is refused with a log line; the node serves on."""
+        """The node logs the error and keeps running."""
         (tmp_path / "settings.toml").write_text("name = ")
         entry.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.5)
@@ -283,7 +280,7 @@
 
     async def test_logs_one_line_per_decision(self, entry: Entry) -> None:
         """The outcome of a request can be found in the logs by its id."""
-        await entry.ask("/none/x", headers={"X-Attempt-Id": "find-me"})
+        await entry.send("/none/x", headers={"X-Attempt-Id": "find-me"})
         await asyncio.sleep(0.6)
         entry.process.kill()
         out, _ = await entry.process.communicate()
@@ -294,14 +291,14 @@
 
 
 class TestSettings:
-    """Tests of settings that are refused."""
+    """Tests of invalid settings."""
 
     @pytest.mark.parametrize("program", ["entry.py", "agent.py"])
     @pytest.mark.parametrize("text", ['name = "a"\n', "internal_port = x", 'internal_port = "x"\n'])
     async def test_malformed_settings_end_with_a_clear_error(
         self, tmp_path: Path, program: str, text: str
     ) -> None:
-        """The program says what is wrong and ends with exit code 2."""
+        """The program prints the error and exits with code 2."""
         path = tmp_path / "settings.toml"
         path.write_text(text)
         process = await start_program(program, path)
@@ -312,8 +309,8 @@
 
 
 def test_platform_folder_does_not_shadow_the_library() -> None:
-    """A module of the standard library has the folder's name; it must still be found."""
+    """The standard library has a module of the same name, which must still be importable."""
     import platform
 
     assert platform.system()
-    assert whole_answer(b"")
+    assert full_response(b"")
