--- a/bench/content.py
+++ b/bench/content.py
@@ -62,8 +62,13 @@
             content = ContentId(f"{number}")
             ledger.record(content, IncarnationId(f"{name}{number}"), crash, CrashSource.PEER)
     other, held = ContentId("other"), ContentId("5")
-    print(f"no hold, 1,000 contents known: {measure(lambda: guard.find_hold(other), 5000):.2f} us")
-    print(f"hold, 20 contents held back: {measure(lambda: guard.find_hold(held), 500):.2f} us")
+    print(
+        "no hold, 1,000 contents known: "
+        f"{measure(lambda: guard.find_quarantine(other), 5000):.2f} us"
+    )
+    print(
+        f"hold, 20 contents held back: {measure(lambda: guard.find_quarantine(held), 500):.2f} us"
+    )
     print(f"whole answer noted: {measure(lambda: guard.record_success(other), 5000):.2f} us")
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -88,7 +88,7 @@
     ask = PlacementRequest(service, 1, 0.0, 0.0, 0.0, 0.5, 6.0)
 
     def look() -> None:
-        endpoints.touch()
+        endpoints.mark_changed()
         gate._decide(ask, ())
 
     gate._waiting[SERVICE] = [ask]
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -244,7 +244,7 @@
     Safeguard(
         "routing: a leaving endpoint stays leaving",
         f"{ROUTING}/_endpoints.py",
-        "leaving = self._left.get(agent_id, -1) >= endpoint.born",
+        "leaving = self._left_born.get(agent_id, -1) >= endpoint.born",
         "leaving = False",
         f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints::test_leaving_outlives_a_lapsed_entry",
     ),
@@ -270,15 +270,15 @@
         "if not self._proof.allows_keys():",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestAdmission"
-        "::test_old_proof_refuses_keys_but_serves_public_rules",
+        "::test_stale_configuration_refuses_keys_but_serves_public_rules",
     ),
     Safeguard(
         "routing: what is not idempotent is not repeated",
         f"{ROUTING}/_forward.py",
-        "allowed = progress.rule.idempotent and not progress.on_trial",
-        "allowed = not progress.on_trial",
+        "allowed = progress.rule.idempotent and not progress.is_probe",
+        "allowed = not progress.is_probe",
         f"{ROUTING_TESTS}/test_forward.py::TestWholeAnswers"
-        "::test_unsafe_request_is_never_sent_twice",
+        "::test_unsafe_request_is_never_repeated",
     ),
     Safeguard(
         "routing: an answer must be this request's",
@@ -286,14 +286,14 @@
         "if not reply.genuine:",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestWholeAnswers"
-        "::test_unsafe_request_is_never_sent_twice",
+        "::test_unsafe_request_is_never_repeated",
     ),
     Safeguard(
         "routing: events follow on each other",
         f"{ROUTING}/_streams.py",
-        "if not _follow_on(events, pump.last):",
+        "if not _is_contiguous(events, stream.last_event):",
         "if False:",
-        f"{ROUTING_TESTS}/test_forward.py::TestStreams::test_wrong_continuation_is_never_joined",
+        f"{ROUTING_TESTS}/test_forward.py::TestStreams::test_wrong_continuation_is_rejected",
     ),
     Safeguard(
         "routing: each naming keeps its deadline",
@@ -301,15 +301,15 @@
         "known.append(wanted)",
         "known[:] = [wanted]",
         f"{ROUTING_TESTS}/test_forward.py::TestVersions"
-        "::test_later_version_does_not_put_off_an_earlier_deadline",
+        "::test_later_version_does_not_postpone_an_earlier_deadline",
     ),
     Safeguard(
         "routing: a chain is of one version",
         f"{ROUTING}/_chains.py",
-        "return held[state.endpoint.agent_id].version == version",
+        "return weights_by_id[state.endpoint.agent_id].version == version",
         "return True",
         f"{ROUTING_TESTS}/test_chains.py::TestListAble"
-        "::test_parts_of_two_versions_are_never_joined",
+        "::test_versions_are_never_mixed_in_a_chain",
     ),
     Safeguard(
         "swarm: a chunk is checked before it is kept",
@@ -414,7 +414,7 @@
         "if read_clock() >= progress.begin_by:",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestVersions"
-        "::test_engine_is_not_blamed_for_a_version_that_is_due",
+        "::test_version_deadline_is_not_counted_as_an_engine_failure",
     ),
     Safeguard(
         "feeders leave their link to the origin",
@@ -637,17 +637,17 @@
     Safeguard(
         "crashes told by other nodes count",
         f"{ROUTING}/_crash_ledger.py",
-        "if told.age < EVIDENCE_SECONDS:",
+        "if reported.age < EVIDENCE_SECONDS:",
         "if False:",
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestHold"
-        "::test_third_crash_seen_by_anybody_holds",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestQuarantine"
+        "::test_third_crash_seen_by_any_node_quarantines",
     ),
     Safeguard(
         "the fall of one incarnation is one crash",
         f"{ROUTING}/_crash_ledger.py",
         "entry.crashes[incarnation] = joined",
         'entry.crashes[IncarnationId(f"{incarnation}{self.revision}")] = joined',
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestHold::test_one_fall_told_by_many_is_one_crash",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestQuarantine::test_failure_reported_by_many_nodes_is_one_crash",
     ),
     Safeguard(
         "an excuse goes before a crash, in any order",
@@ -659,26 +659,24 @@
     Safeguard(
         "contents with crashes are bounded",
         f"{ROUTING}/_crash_ledger.py",
-        "while len(self._entries) > MOST_CONTENTS:",
+        "while len(self._entries) > MAX_CONTENTS:",
         "while False:",
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds"
-        "::test_hundred_thousand_contents_stay_within_bounds",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds" "::test_number_of_contents_is_bounded",
     ),
     Safeguard(
         "what is held back is dropped last",
         f"{ROUTING}/_crash_ledger.py",
         "oldest = (each for each in self._entries if each not in self._suspects)",
         "oldest = iter(self._entries)",
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds"
-        "::test_hundred_thousand_contents_stay_within_bounds",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds" "::test_number_of_contents_is_bounded",
     ),
     Safeguard(
         "a whole answer speaks for its content",
         f"{ROUTING}/_crash_guard.py",
-        "if ats and is_proven(proven_at, max(ats)):",
+        "if crashed_at and is_proven(proven_at, max(crashed_at)):",
         "if False:",
         f"{ROUTING_TESTS}/test_crash_guard.py"
-        "::test_poll_in_progress_at_each_engine_of_a_rack_is_not_held_back",
+        "::test_recently_successful_content_is_not_quarantined",
     ),
     Safeguard(
         "a worse content explains its victims",
@@ -690,16 +688,16 @@
     Safeguard(
         "a hold is stored by whoever saw a crash",
         f"{ROUTING}/_crash_guard.py",
-        "if self._ledger.has_seen(content):",
+        "if self._ledger.has_own_crash(content):",
         "if False:",
-        f"{ROUTING_TESTS}/test_crash_guard.py::test_hold_is_stored_by_who_saw_a_crash",
+        f"{ROUTING_TESTS}/test_crash_guard.py::test_quarantine_is_stored_by_nodes_that_observed_a_crash",
     ),
     Safeguard(
         "one trial at a time at a node",
         f"{ROUTING}/_crash_guard.py",
-        "self._trials[content] = read_clock()",
+        "self._probed_at[content] = read_clock()",
         "pass",
-        f"{ROUTING_TESTS}/test_crash_guard.py::test_one_trial_a_minute_in_the_whole_fleet",
+        f"{ROUTING_TESTS}/test_crash_guard.py::test_one_probe_a_minute_across_the_fleet",
     ),
     Safeguard(
         "trials grow seldomer with each crash",
@@ -711,18 +709,18 @@
     Safeguard(
         "a trial has one try",
         f"{ROUTING}/_forward.py",
-        "allowed = progress.rule.idempotent and not progress.on_trial",
+        "allowed = progress.rule.idempotent and not progress.is_probe",
         "allowed = progress.rule.idempotent",
-        f"{ROUTING_TESTS}/test_forward.py::TestHeldContent"
-        "::test_failure_of_a_trial_is_passed_on",
+        f"{ROUTING_TESTS}/test_forward.py::TestQuarantinedContent"
+        "::test_error_response_to_a_probe_is_forwarded",
     ),
     Safeguard(
         "word that comes while a request waits is heeded",
         f"{ROUTING}/_forward.py",
-        "if not progress.on_trial and self._guard.find_hold(progress.content) is not None:",
+        "if not progress.is_probe and self._guard.find_quarantine(progress.content) is not None:",
         "if False:",
-        f"{ROUTING_TESTS}/test_forward.py::TestHeldContent"
-        "::test_word_that_comes_while_a_repeat_waits_for_room_is_heeded",
+        f"{ROUTING_TESTS}/test_forward.py::TestQuarantinedContent"
+        "::test_crash_update_stops_a_waiting_repeat",
     ),
     Safeguard(
         "an endpoint that answers did not fall",
@@ -730,14 +728,14 @@
         "if liveness is Liveness.REFUSED:",
         "if liveness is not Liveness.SILENT:",
         f"{ROUTING_TESTS}/test_failure_detector.py"
-        "::test_broken_connection_to_a_live_endpoint_is_no_fall",
+        "::test_broken_connection_to_a_live_endpoint_is_no_failure",
     ),
     Safeguard(
         "a request sent after a fall has no part in it",
         f"{ROUTING}/_failure_detector.py",
-        "if sent_at <= losses.fell_at:",
+        "if sent_at <= losses.failed_at:",
         "if True:",
-        f"{ROUTING_TESTS}/test_failure_detector.py::test_request_sent_after_the_fall_had_no_part_in_it",
+        f"{ROUTING_TESTS}/test_failure_detector.py::test_request_sent_after_the_failure_is_not_involved",
     ),
     Safeguard(
         "an endpoint that is leaving may end",
@@ -745,22 +743,22 @@
         "if state.leaving or not (listed or silent):",
         "if False:",
         f"{ROUTING_TESTS}/test_failure_detector.py"
-        "::test_end_of_an_endpoint_that_was_leaving_is_no_fall",
+        "::test_end_of_a_leaving_endpoint_is_no_failure",
     ),
     Safeguard(
         "a quick restart is a fall",
         f"{ROUTING}/_failure_detector.py",
         "return any(each.endpoint.incarnation != endpoint.incarnation for each in listed)",
         "return False",
-        f"{ROUTING_TESTS}/test_failure_detector.py::test_endpoint_that_was_quick_to_restart_has_fallen",
+        f"{ROUTING_TESTS}/test_failure_detector.py::test_restarted_endpoint_has_failed",
     ),
     Safeguard(
         "a silent fall is found out by the next caller",
         f"{ROUTING}/_forward.py",
-        "self._detector.note_unreachable(state)",
+        "self._detector.record_unreachable(state)",
         "pass",
-        f"{ROUTING_TESTS}/test_forward.py::TestHeldContent"
-        "::test_call_that_waits_at_a_dark_endpoint_is_counted_before_its_deadline",
+        f"{ROUTING_TESTS}/test_forward.py::TestQuarantinedContent"
+        "::test_request_at_an_unreachable_endpoint_is_counted_before_its_deadline",
     ),
     Safeguard(
         "a hold outlives every node",
@@ -787,17 +785,17 @@
     Safeguard(
         "each try to a limited endpoint needs a grant",
         f"{ROUTING}/_forward.py",
-        "await self._take_grants(placed.states, wanted.urgency)",
+        "await self._request_grants(placed.states, placement.urgency)",
         "True",
-        f"{ROUTING_TESTS}/test_forward.py::TestRateLimits::test_every_try_asks_for_a_grant",
+        f"{ROUTING_TESTS}/test_forward.py::TestRateLimits::test_every_attempt_requests_a_grant",
     ),
     Safeguard(
         "an endpoint without a grant is passed over",
         f"{ROUTING}/_gate.py",
-        "states = [each for each in usable if each.denial.ask_after <= now]",
+        "states = [each for each in usable if each.denial.retry_at <= now]",
         "states = usable",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_request_goes_on_to_an_endpoint_with_room_at_once",
+        "::test_request_moves_to_an_endpoint_with_capacity_at_once",
     ),
     Safeguard(
         "a request that limits leave no turn is refused at once",
@@ -805,15 +803,15 @@
         "if all(each.limited for each in loads):",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_request_without_a_turn_is_refused_at_once",
+        "::test_request_without_a_timely_turn_is_refused_at_once",
     ),
     Safeguard(
         "a request asks few of many limited endpoints",
         f"{ROUTING}/_gate.py",
-        "return self.denials < MOST_DENIALS",
+        "return self.denials < MAX_DENIALS",
         "return True",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_request_asks_few_of_many_limited_endpoints",
+        "::test_request_tries_few_of_many_limited_endpoints",
     ),
     Safeguard(
         "a limiter's bucket begins empty",
@@ -882,7 +880,7 @@
         "return self.limits.find_rate(state.endpoint.incarnation) if self.limits else None",
         "return next((each.rate for each in self.limits.list_in_force()), None)",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_endpoint_that_started_again_is_not_bound",
+        "::test_restarted_endpoint_is_not_limited",
     ),
     Safeguard(
         "an urgent request asks where a less urgent one was denied",
@@ -890,7 +888,7 @@
         "if choice is None and opening is not None and request.urgency < opening.urgency:",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_urgent_request_asks_where_a_less_urgent_one_was_denied",
+        "::test_urgent_request_retries_where_a_less_urgent_one_was_denied",
     ),
     Safeguard(
         "an agent looks nodes up that it was never told of",
--- a/packages/wrenloft-routing/src/wrenloft_routing/__init__.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/__init__.py
@@ -1,19 +1,19 @@
 """Routing of callers' requests straight to endpoints, free of any wire format."""
 
-from wrenloft_routing._budget import SharedBudget
-from wrenloft_routing._chains import Able, ChainStage, list_able
+from wrenloft_routing._budget import SharedRetryBudget
+from wrenloft_routing._chains import ChainStage, Eligible, list_eligible
 from wrenloft_routing._content import identify_content
-from wrenloft_routing._crash_guard import CrashGuard, HoldKeeper
+from wrenloft_routing._crash_guard import CrashGuard, QuarantineStore
 from wrenloft_routing._crash_ledger import (
     CrashLedger,
-    CrashNews,
     CrashSource,
-    Hold,
-    ToldCrash,
+    CrashUpdates,
+    Quarantine,
+    ReportedCrash,
 )
 from wrenloft_routing._crash_routes import CrashRoutes
 from wrenloft_routing._endpoints import (
-    KEPT_SECONDS,
+    IDLE_CONNECTION_SECONDS,
     NO_DENIAL,
     Denial,
     Endpoint,
@@ -64,7 +64,7 @@
 from wrenloft_routing._members import Member, Members, NodeState
 from wrenloft_routing._metrics import MESSAGES
 from wrenloft_routing._packing import Item
-from wrenloft_routing._proof import CurrencyProof
+from wrenloft_routing._proof import FreshnessProof
 from wrenloft_routing._readings import (
     ReaderRole,
     Reading,
@@ -75,7 +75,7 @@
 )
 from wrenloft_routing._report_streams import ReportFollower, decode_report
 from wrenloft_routing._settings import Bounds, EntrySettings
-from wrenloft_routing._streams import Pump, StreamEnd, pump_stream
+from wrenloft_routing._streams import StreamEnd, StreamProgress, forward_stream
 from wrenloft_routing._table import (
     BackendService,
     Caller,
@@ -91,10 +91,9 @@
 from wrenloft_routing._zone_view import FrameWriter, ZoneView
 
 __all__ = [
-    "KEPT_SECONDS",
+    "IDLE_CONNECTION_SECONDS",
     "MESSAGES",
     "NO_DENIAL",
-    "Able",
     "AnswerSink",
     "Attempt",
     "BackendService",
@@ -105,11 +104,11 @@
     "ChainStage",
     "CrashGuard",
     "CrashLedger",
-    "CrashNews",
     "CrashRoutes",
     "CrashSource",
-    "CurrencyProof",
+    "CrashUpdates",
     "Denial",
+    "Eligible",
     "Endpoint",
     "EndpointFailure",
     "EndpointState",
@@ -128,14 +127,13 @@
     "FrameRoutes",
     "FrameScope",
     "FrameWriter",
+    "FreshnessProof",
     "Gate",
     "Grant",
     "GrantRequest",
     "GrantRoutes",
     "Grants",
     "Headers",
-    "Hold",
-    "HoldKeeper",
     "InProgress",
     "Item",
     "LimitInForce",
@@ -158,7 +156,8 @@
     "PeerLoads",
     "Placed",
     "PlacementRequest",
-    "Pump",
+    "Quarantine",
+    "QuarantineStore",
     "QueueLength",
     "ReaderRole",
     "Reading",
@@ -170,15 +169,16 @@
     "Reply",
     "ReplyBrokenError",
     "ReportFollower",
+    "ReportedCrash",
     "RoutingTable",
     "Rule",
     "RuleKind",
-    "SharedBudget",
     "SharedReading",
+    "SharedRetryBudget",
     "StreamEnd",
+    "StreamProgress",
     "Taken",
     "Target",
-    "ToldCrash",
     "ZoneLink",
     "ZoneView",
     "decode_crashes",
@@ -188,10 +188,10 @@
     "encode_crashes",
     "encode_frame",
     "encode_update",
+    "forward_stream",
     "identify_content",
-    "list_able",
+    "list_eligible",
     "pick_target",
     "probe_address",
-    "pump_stream",
     "read_frames",
 ]
--- a/packages/wrenloft-routing/src/wrenloft_routing/_budget.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_budget.py
@@ -2,7 +2,7 @@
 
 from wrenloft_core import ServiceName
 
-SHARE_OF_SLACK = 0.6
+SLACK_SHARE = 0.6
 """Part of the shared allowance that is given out; the rest covers nodes not yet known of and
 refusals at endpoints, which count as tries too but are noticed only when they have happened."""
 
@@ -18,7 +18,7 @@
         self.at = at
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """Second tries allowed at this node, by service, without a call per request.
 
     Each node takes the part that it would have if all known entry nodes were live, refilled over
@@ -32,26 +32,26 @@
 
     def __init__(self, ratio: float, slack: float, window: float, nodes: int) -> None:
         self._ratio = ratio * RATIO_SHARE
-        self._slack = slack * SHARE_OF_SLACK
+        self._slack = slack * SLACK_SHARE
         self._window = window
         self.nodes = max(1, nodes)
         self._accounts: dict[ServiceName, _Account] = {}
 
     def _account(self, service: ServiceName, now: float) -> _Account:
-        most = max(1.0, self._slack / self.nodes / 2)
+        capacity = max(1.0, self._slack / self.nodes / 2)
         account = self._accounts.get(service)
         if account is None:
-            account = self._accounts[service] = _Account(most, now)
+            account = self._accounts[service] = _Account(capacity, now)
         refill = (now - account.at) * self._slack / self.nodes / 2 / self._window
-        account.tokens = min(most, account.tokens + refill)
+        account.tokens = min(capacity, account.tokens + refill)
         account.at = now
         return account
 
-    def earn(self, service: ServiceName, now: float) -> None:
+    def deposit(self, service: ServiceName, now: float) -> None:
         """Count one request for a service."""
         self._account(service, now).tokens += self._ratio
 
-    def spend(self, service: ServiceName, now: float) -> bool:
+    def withdraw(self, service: ServiceName, now: float) -> bool:
         """Take one second try, if there is one left."""
         account = self._account(service, now)
         if account.tokens < 1.0:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
@@ -6,7 +6,7 @@
 
 from wrenloft_core import AgentId
 from wrenloft_policy import ChainPart, LayerHolder, LayerSpan, complete_chain
-from wrenloft_routing._endpoints import EndpointState, HeldWeights
+from wrenloft_routing._endpoints import EndpointState, EngineWeights
 from wrenloft_routing._table import BackendService
 
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Able:
+class Eligible:
     """An endpoint that can take a request.
 
     :param version: the version on which the request would begin, 0 for a plain service.
@@ -31,13 +31,13 @@
     chain: tuple[ChainStage, ...] = ()
 
 
-def list_able(
+def list_eligible(
     service: BackendService,
     states: Sequence[EndpointState],
     required: int,
     now: float,
     random: Random,
-) -> list[Able]:
+) -> list[Eligible]:
     """Return the endpoints that can take a request of a service.
 
     Chains that cross regions are named only if nothing else can take it: a token crosses at
@@ -47,51 +47,57 @@
     :param required: the oldest version on which a request may begin.
     """
     if service.model is None:
-        return [Able(each) for each in states]
-    held = {each.endpoint.agent_id: each.weights_of(service.model, now) for each in states}
+        return [Eligible(each) for each in states]
+    weights_by_id = {
+        each.endpoint.agent_id: each.find_weights(service.model, now) for each in states
+    }
     serving = [
-        each for each in states if _is_serving(held[each.endpoint.agent_id], max(1, required))
+        each
+        for each in states
+        if _is_serving(weights_by_id[each.endpoint.agent_id], max(1, required))
     ]
-    able: list[Able] = []
-    far: list[Able] = []
+    eligible: list[Eligible] = []
+    cross_region: list[Eligible] = []
     for state in serving:
-        weights = held[state.endpoint.agent_id]
-        whole = weights.span is not None and weights.span.holds(LayerSpan(0, service.layers))
-        if whole:
-            able.append(Able(state, weights.version))
+        weights = weights_by_id[state.endpoint.agent_id]
+        is_complete = weights.span is not None and weights.span.holds(LayerSpan(0, service.layers))
+        if is_complete:
+            eligible.append(Eligible(state, weights.version))
             continue
-        peers = [each for each in serving if _has_version(held, each, weights.version)]
-        chain = _find_chain(service, state, peers, held, random)
+        peers = [each for each in serving if _has_version(weights_by_id, each, weights.version)]
+        chain = _find_chain(service, state, peers, weights_by_id, random)
         if chain:
             crosses = any(_measure_distance(state, each.state) > 1 for each in chain)
-            (far if crosses else able).append(Able(state, weights.version, chain))
-    return able or far
+            (cross_region if crosses else eligible).append(Eligible(state, weights.version, chain))
+    return eligible or cross_region
 
 
-def _is_serving(weights: HeldWeights, least: int) -> bool:
+def _is_serving(weights: EngineWeights, least: int) -> bool:
     return weights.span is not None and weights.version >= least
 
 
-def _has_version(held: Mapping[AgentId, HeldWeights], state: EndpointState, version: int) -> bool:
+def _has_version(
+    weights_by_id: Mapping[AgentId, EngineWeights], state: EndpointState, version: int
+) -> bool:
     """Chains of two versions would mix their weights in one token."""
-    return held[state.endpoint.agent_id].version == version
+    return weights_by_id[state.endpoint.agent_id].version == version
 
 
 def _find_chain(
     service: BackendService,
     first: EndpointState,
     peers: Sequence[EndpointState],
-    held: Mapping[AgentId, HeldWeights],
+    weights_by_id: Mapping[AgentId, EngineWeights],
     random: Random,
 ) -> tuple[ChainStage, ...]:
     holders: dict[str, LayerHolder] = {}
     states: dict[str, EndpointState] = {}
     for each in peers:
-        span = held[each.endpoint.agent_id].span
+        span = weights_by_id[each.endpoint.agent_id].span
         if span is not None:
             key = each.endpoint.agent_id
             distance = _measure_distance(first, each)
-            holders[key] = LayerHolder(key, span, distance, each.later_parts)
+            holders[key] = LayerHolder(key, span, distance, each.downstream_requests)
             states[key] = each
     own = holders.pop(first.endpoint.agent_id)
     parts = complete_chain(own, list(holders.values()), service.layers, random)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_guard.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_guard.py
@@ -13,23 +13,23 @@
     is_proven,
     measure_trial_wait,
 )
-from wrenloft_routing._crash_ledger import CrashLedger, CrashSource, Hold, ToldCrash
+from wrenloft_routing._crash_ledger import CrashLedger, CrashSource, Quarantine, ReportedCrash
 from wrenloft_routing._failure_detector import EndpointFailure
 
 _LOG = logging.getLogger(__name__)
 
-MOST_PROVEN = 2048
+MAX_SUCCESSES = 2048
 """Contents whose last whole answer is remembered, about 0.4 MB: those of 10 s at 200 a second. The
 oldest go first; they are the next to prove nothing any more."""
 
-MOST_TRIALS = 256
+MAX_PROBES = 256
 """Contents whose last trial is remembered; more are not held back at once."""
 
 
-class HoldKeeper(Protocol):
+class QuarantineStore(Protocol):
     """Where holds outlive this process, and where a trial is claimed for the whole fleet."""
 
-    def keep(self, content: ContentId, crashes: Mapping[IncarnationId, ToldCrash]) -> None:
+    def keep(self, content: ContentId, crashes: Mapping[IncarnationId, ReportedCrash]) -> None:
         """Store that a content is held back, in the background."""
 
     def drop(self, content: ContentId) -> None:
@@ -42,94 +42,94 @@
 class CrashGuard:
     """Decides which requests are answered without being sent."""
 
-    def __init__(self, ledger: CrashLedger, keeper: HoldKeeper) -> None:
+    def __init__(self, ledger: CrashLedger, store: QuarantineStore) -> None:
         self._ledger = ledger
-        self._keeper = keeper
-        self._proven: OrderedDict[ContentId, float] = OrderedDict()
-        self._trials: OrderedDict[ContentId, float] = OrderedDict()
-        self._held: set[ContentId] = set()
-        ledger.on_change = self._review
+        self._store = store
+        self._succeeded_at: OrderedDict[ContentId, float] = OrderedDict()
+        self._probed_at: OrderedDict[ContentId, float] = OrderedDict()
+        self._quarantined: set[ContentId] = set()
+        ledger.on_change = self._update
 
-    def take_failure(self, fall: EndpointFailure) -> None:
+    def record_endpoint_failure(self, failure: EndpointFailure) -> None:
         """Take that an endpoint fell while requests of this node ran there."""
-        for content in sorted(fall.contents):
-            crash = Crash(fall.at)
-            self._ledger.record(content, fall.incarnation, crash, CrashSource.OWN)
-            if self._ledger.find_hold(content) is not None:
-                self._keeper.keep(content, self._ledger.tell(content, read_clock()))
+        for content in sorted(failure.contents):
+            crash = Crash(failure.at)
+            self._ledger.record(content, failure.incarnation, crash, CrashSource.OWN)
+            if self._ledger.find_quarantine(content) is not None:
+                self._store.keep(content, self._ledger.report_crashes(content, read_clock()))
 
     def record_success(self, content: ContentId) -> None:
         """Take that a request had a whole answer: its content crashes nothing."""
-        self._proven[content] = read_clock()
-        self._proven.move_to_end(content)
-        if len(self._proven) > MOST_PROVEN:
-            self._proven.popitem(last=False)
-        was_held = content in self._held
-        self._ledger.excuse(content, Standing.SUCCEEDED)
-        if was_held:
-            self._keeper.drop(content)
+        self._succeeded_at[content] = read_clock()
+        self._succeeded_at.move_to_end(content)
+        if len(self._succeeded_at) > MAX_SUCCESSES:
+            self._succeeded_at.popitem(last=False)
+        was_quarantined = content in self._quarantined
+        self._ledger.dismiss(content, Standing.SUCCEEDED)
+        if was_quarantined:
+            self._store.drop(content)
 
     def lift(self, content: ContentId) -> bool:
         """Hold a content back no longer, on an operator's word; return whether it was."""
-        if self._ledger.find_hold(content) is None:
+        if self._ledger.find_quarantine(content) is None:
             return False
-        self._ledger.excuse(content, Standing.LIFTED)
-        self._keeper.drop(content)
+        self._ledger.dismiss(content, Standing.LIFTED)
+        self._store.drop(content)
         return True
 
-    def find_hold(self, content: ContentId) -> Hold | None:
+    def find_quarantine(self, content: ContentId) -> Quarantine | None:
         """Return why a content is held back, ``None`` if it is not."""
-        return self._ledger.find_hold(content)
+        return self._ledger.find_quarantine(content)
 
-    def count_held_back(self, hold: Hold) -> None:
+    def count_refusal(self, quarantine: Quarantine) -> None:
         """Count a request that was answered without being sent."""
-        self._ledger.count_held_back(hold.content)
+        self._ledger.count_refusal(quarantine.content)
 
-    def measure_return(self, hold: Hold) -> float:
+    def measure_retry_after(self, quarantine: Quarantine) -> float:
         """Return the seconds until a request is next let through to find out how it fares."""
-        trial_at = self._trials.get(hold.content, float("-inf"))
-        return measure_trial_wait(hold.crash_ats, trial_at, read_clock())
+        last_probe_at = self._probed_at.get(quarantine.content, float("-inf"))
+        return measure_trial_wait(quarantine.crash_times, last_probe_at, read_clock())
 
-    async def claim_trial(self, hold: Hold) -> bool:
+    async def claim_probe(self, quarantine: Quarantine) -> bool:
         """Return whether a request may be sent once, though its content is held back.
 
         One node alone may, in the whole fleet: each node lifting by its own clock would crash as
         many engines as there are nodes. The claim is marked before it is asked for, so that a
         second caller of this node is answered at once.
         """
-        content = hold.content
-        if self.measure_return(hold) > 0.0:
+        content = quarantine.content
+        if self.measure_retry_after(quarantine) > 0.0:
             return False
-        self._trials[content] = read_clock()
-        self._trials.move_to_end(content)
-        if len(self._trials) > MOST_TRIALS:
-            self._trials.popitem(last=False)
-        claimed = await self._keeper.claim(content, TRIAL_SECONDS)
+        self._probed_at[content] = read_clock()
+        self._probed_at.move_to_end(content)
+        if len(self._probed_at) > MAX_PROBES:
+            self._probed_at.popitem(last=False)
+        claimed = await self._store.claim(content, TRIAL_SECONDS)
         note(_LOG, "trial of a held content", content=content, claimed=claimed)
         return claimed
 
-    def _review(self, content: ContentId) -> None:
+    def _update(self, content: ContentId) -> None:
         """Compare news of a content with what this node knows, and log when a hold begins."""
-        ats = self._ledger.list_crash_times(content)
-        proven_at = self._proven.get(content)
-        if ats and is_proven(proven_at, max(ats)):
-            self._ledger.excuse(content, Standing.SUCCEEDED)
+        crashed_at = self._ledger.list_crash_times(content)
+        proven_at = self._succeeded_at.get(content)
+        if crashed_at and is_proven(proven_at, max(crashed_at)):
+            self._ledger.dismiss(content, Standing.SUCCEEDED)
             return
-        hold = self._ledger.find_hold(content)
-        if (hold is not None) is (content in self._held):
+        quarantine = self._ledger.find_quarantine(content)
+        if (quarantine is not None) is (content in self._quarantined):
             return
-        if hold is None:
-            self._held.discard(content)
+        if quarantine is None:
+            self._quarantined.discard(content)
             note(_LOG, "content held back no longer", content=content)
             return
-        self._held.add(content)
+        self._quarantined.add(content)
         note(
             _LOG,
             "content held back",
             content=content,
-            crashes=hold.count,
-            age_ms=round(hold.age * 1000),
-            source=hold.source.value,
+            crashes=quarantine.count,
+            age_ms=round(quarantine.age * 1000),
+            source=quarantine.source.value,
         )
-        if self._ledger.has_seen(content):
-            self._keeper.keep(content, self._ledger.tell(content, read_clock()))
+        if self._ledger.has_own_crash(content):
+            self._store.keep(content, self._ledger.report_crashes(content, read_clock()))
--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
@@ -18,19 +18,21 @@
     list_counted,
 )
 
-MOST_CONTENTS = 1024
+MAX_CONTENTS = 1024
 """Contents with crashes that are kept, about 2 MB at the most; the fall of a whole rack leaves some
 hundred, of which all but the guilty ones are dropped first."""
 
-MOST_CRASHES = 16
+MAX_CRASHES_PER_CONTENT = 16
 """Crashes kept of one content: three hold it back, those of the moments until all nodes know and
 those of trials, four in the ten minutes for which they count, tell it from its victims."""
 
-HELD_BACK = Counter("wrenloft_held_back", "Requests answered without being sent: content held back")
-HELD_WRONGLY = Counter(
+REFUSED_REQUESTS = Counter(
+    "wrenloft_held_back", "Requests answered without being sent: content held back"
+)
+WRONGLY_REFUSED_REQUESTS = Counter(
     "wrenloft_held_back_wrongly", "Of those, requests whose content has had a whole answer since"
 )
-HELD = Gauge("wrenloft_contents_held", "Contents that are held back now")
+QUARANTINED = Gauge("wrenloft_contents_held", "Contents that are held back now")
 
 
 class CrashSource(Enum):
@@ -42,34 +44,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldCrash:
-    """A crash as one node tells another; clocks differ, so its age is told."""
+class ReportedCrash:
+    """A crash as one node tells another; clocks differ, so its age is reported."""
 
     age: float
-    standing: Standing
+    status: Standing
 
 
-CrashNews = dict[ContentId, dict[IncarnationId, ToldCrash]]
+CrashUpdates = dict[ContentId, dict[IncarnationId, ReportedCrash]]
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class Quarantine:
     """A content that is held back.
 
     :param count: endpoints that fell under it.
-    :param crash_ats: when they did.
+    :param crash_times: when they did.
     :param source: who told of the latest.
     """
 
     content: ContentId
     count: int
-    crash_ats: tuple[float, ...]
+    crash_times: tuple[float, ...]
     source: CrashSource
 
     @property
     def age(self) -> float:
         """Seconds since the latest crash."""
-        return read_clock() - max(self.crash_ats)
+        return read_clock() - max(self.crash_times)
 
 
 @dataclass(slots=True)
@@ -78,7 +80,7 @@
     revision: int = 0
     source: CrashSource = CrashSource.OWN
     own: bool = False
-    held_back: int = 0
+    refused: int = 0
 
 
 class CrashLedger:
@@ -87,7 +89,7 @@
     Each node sees the falls under its own attempts only; a request that is repeated at nine nodes
     would crash three engines at each. So what any of them has seen counts at all. Words are joined
     in any order and any number of times with the same result: a relay that died, lagged or told
-    twice changes nothing once the next one has told.
+    twice changes nothing once the next one has reported.
 
     :param on_change: called with each content about which something new is known.
     """
@@ -97,7 +99,7 @@
         self.revision = 0
         self._entries: OrderedDict[ContentId, _Entry] = OrderedDict()
         self._suspects: set[ContentId] = set()
-        HELD.set_function(lambda: len(self.list_holds()))
+        QUARANTINED.set_function(lambda: len(self.list_quarantines()))
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -105,7 +107,7 @@
     def record(
         self, content: ContentId, incarnation: IncarnationId, crash: Crash, source: CrashSource
     ) -> None:
-        """Take one crash, seen here or told."""
+        """Take one crash, seen here or reported."""
         entry = self._entries.get(content) or _Entry()
         known = entry.crashes.get(incarnation)
         joined = join_crash(known, crash)
@@ -113,19 +115,19 @@
         if joined == known:
             return
         if joined.standing is not Standing.COUNTS:
-            self._settle(entry, joined.standing)
+            self._count_wrong_refusals(entry, joined.standing)
         entry.crashes[incarnation] = joined
         entry.source = source
         self._entries[content] = entry
         self._trim(entry)
-        self._note_change(content, entry)
+        self._record_change(content, entry)
 
     def _trim(self, entry: _Entry) -> None:
         """Keep the youngest crashes that count."""
-        while len(entry.crashes) > MOST_CRASHES:
+        while len(entry.crashes) > MAX_CRASHES_PER_CONTENT:
             del entry.crashes[min(entry.crashes, key=lambda each: _rank(entry.crashes[each]))]
 
-    def _note_change(self, content: ContentId, entry: _Entry) -> None:
+    def _record_change(self, content: ContentId, entry: _Entry) -> None:
         self.revision += 1
         entry.revision = self.revision
         self._entries.move_to_end(content)
@@ -134,7 +136,7 @@
             self._suspects.add(content)
         else:
             self._suspects.discard(content)
-        while len(self._entries) > MOST_CONTENTS:
+        while len(self._entries) > MAX_CONTENTS:
             self._drop(self._pick_dropped())
         self.on_change(content)
 
@@ -148,7 +150,7 @@
         self._suspects.discard(content)
         self.on_change(content)
 
-    def excuse(self, content: ContentId, standing: Standing) -> bool:
+    def dismiss(self, content: ContentId, status: Standing) -> bool:
         """Let a content's crashes count no longer; return whether any did."""
         entry = self._entries.get(content)
         if entry is None:
@@ -159,43 +161,43 @@
             if crash.standing is Standing.COUNTS
         ]
         for incarnation, crash in counting:
-            self.record(content, incarnation, Crash(crash.at, standing), entry.source)
+            self.record(content, incarnation, Crash(crash.at, status), entry.source)
         return bool(counting)
 
-    def _settle(self, entry: _Entry, standing: Standing) -> None:
-        if standing is Standing.SUCCEEDED:
-            HELD_WRONGLY.inc(entry.held_back)
-        entry.held_back = 0
+    def _count_wrong_refusals(self, entry: _Entry, status: Standing) -> None:
+        if status is Standing.SUCCEEDED:
+            WRONGLY_REFUSED_REQUESTS.inc(entry.refused)
+        entry.refused = 0
 
-    def merge(self, news: CrashNews, source: CrashSource) -> None:
+    def merge(self, updates: CrashUpdates, source: CrashSource) -> None:
         """Take what another node, or the store, tells."""
         now = read_clock()
-        for content, crashes in news.items():
-            for incarnation, told in crashes.items():
-                if told.age < EVIDENCE_SECONDS:
-                    crash = Crash(now - told.age, told.standing)
+        for content, crashes in updates.items():
+            for incarnation, reported in crashes.items():
+                if reported.age < EVIDENCE_SECONDS:
+                    crash = Crash(now - reported.age, reported.status)
                     self.record(content, incarnation, crash, source)
 
-    def list_changes(self, since: int) -> CrashNews:
-        """Return what has changed after a revision of this ledger, to be told."""
+    def list_changes(self, since: int) -> CrashUpdates:
+        """Return what has changed after a revision of this ledger, to be reported."""
         if since == self.revision:
             return {}
         now = read_clock()
         return {
-            content: self.tell(content, now)
+            content: self.report_crashes(content, now)
             for content, entry in self._entries.items()
             if entry.revision > since
         }
 
-    def tell(self, content: ContentId, now: float) -> dict[IncarnationId, ToldCrash]:
+    def report_crashes(self, content: ContentId, now: float) -> dict[IncarnationId, ReportedCrash]:
         """Return a content's crashes as they are told to others."""
         entry = self._entries.get(content) or _Entry()
         return {
-            incarnation: ToldCrash(now - crash.at, crash.standing)
+            incarnation: ReportedCrash(now - crash.at, crash.standing)
             for incarnation, crash in entry.crashes.items()
         }
 
-    def has_seen(self, content: ContentId) -> bool:
+    def has_own_crash(self, content: ContentId) -> bool:
         """Whether a crash of a content was seen by this node itself."""
         entry = self._entries.get(content)
         return entry is not None and entry.own
@@ -205,14 +207,14 @@
         entry = self._entries.get(content) or _Entry()
         return [each.at for each in entry.crashes.values() if each.standing is Standing.COUNTS]
 
-    def count_held_back(self, content: ContentId) -> None:
+    def count_refusal(self, content: ContentId) -> None:
         """Count a request that was answered without being sent."""
-        HELD_BACK.inc()
+        REFUSED_REQUESTS.inc()
         entry = self._entries.get(content)
         if entry is not None:
-            entry.held_back += 1
+            entry.refused += 1
 
-    def find_hold(self, content: ContentId) -> Hold | None:
+    def find_quarantine(self, content: ContentId) -> Quarantine | None:
         """Return why a content is held back, ``None`` if it is not.
 
         Most contents have no crash; for them this is one look into a set.
@@ -225,15 +227,15 @@
         count = count_unexplained(entry.crashes, others, now)
         if count < CRASHES_TO_HOLD:
             return None
-        ats = tuple(entry.crashes[each].at for each in list_counted(entry.crashes, now))
-        return Hold(content, count, ats, entry.source)
+        crash_times = tuple(entry.crashes[each].at for each in list_counted(entry.crashes, now))
+        return Quarantine(content, count, crash_times, entry.source)
 
-    def list_holds(self) -> list[Hold]:
+    def list_quarantines(self) -> list[Quarantine]:
         """Return all contents that are held back now."""
-        holds = (self.find_hold(each) for each in sorted(self._suspects))
-        return [each for each in holds if each is not None]
+        quarantines = (self.find_quarantine(each) for each in sorted(self._suspects))
+        return [each for each in quarantines if each is not None]
 
-    def drop_old(self) -> None:
+    def drop_expired(self) -> None:
         """Forget contents whose crashes no longer count."""
         now = read_clock()
         for content, entry in list(self._entries.items()):
--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_routes.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_routes.py
@@ -10,7 +10,7 @@
 
 _LOG = logging.getLogger(__name__)
 
-HELD_PATH = "/operators/v1/held"
+QUARANTINE_PATH = "/operators/v1/held"
 
 
 class CrashRoutes:
@@ -22,7 +22,7 @@
 
     def routes(self) -> list[web.RouteDef]:
         """Return the operators' routes."""
-        return [web.get(HELD_PATH, self._list), web.post(HELD_PATH, self._lift)]
+        return [web.get(QUARANTINE_PATH, self._list), web.post(QUARANTINE_PATH, self._lift)]
 
     async def _list(self, _: web.Request) -> web.Response:
         rows = [
@@ -31,9 +31,9 @@
                 "crashes": each.count,
                 "age_s": round(each.age, 1),
                 "source": each.source.value,
-                "trial_in_s": round(self._guard.measure_return(each), 1),
+                "trial_in_s": round(self._guard.measure_retry_after(each), 1),
             }
-            for each in self._ledger.list_holds()
+            for each in self._ledger.list_quarantines()
         ]
         return web.json_response({"held": rows})
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
@@ -15,15 +15,15 @@
 
 def give_up(progress: RequestProgress, step: str, refused: Refused, random: Random) -> Outcome:
     """End a request that nobody runs; say "not run" only if that is certain."""
-    if progress.may_have_run or progress.pump.begun:
+    if progress.may_have_run or progress.stream.begun:
         return Unknown(step, refused.reason, progress.peer)
     if refused.turn is not None:
         RATE_LIMITED.inc()
-    retry_after = _pick_return(progress, refused, random)
+    retry_after = _pick_retry_after(progress, refused, random)
     return NotRun(step, refused.reason, progress.peer, retry_after=retry_after)
 
 
-def _pick_return(progress: RequestProgress, refused: Refused, random: Random) -> float:
+def _pick_retry_after(progress: RequestProgress, refused: Refused, random: Random) -> float:
     left = max(0.0, progress.left)
     turn = refused.turn
     if turn is not None:
@@ -44,7 +44,7 @@
 
 async def send_failure(progress: RequestProgress, outcome: Unknown, sink: AnswerSink) -> None:
     """Tell a caller that nobody knows whether its request has run, or break its answer off."""
-    if progress.pump.begun:
+    if progress.stream.begun:
         sink.abort()
         return
     status = 504 if progress.left <= 0 else 502
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
@@ -33,7 +33,7 @@
 SUSPECT_SECONDS = 1.5
 """How long a first failure keeps requests away; doubled by each further one in a row."""
 
-SUSPECT_LONGEST = 6.0
+MAX_SUSPECT_SECONDS = 6.0
 """Half of the shortest recovery that operators allow, so that a return is noticed in time."""
 
 FULL_SECONDS = 0.12
@@ -48,10 +48,10 @@
     ["endpoint"],
 )
 
-SENT_KEPT = 64
+MAX_SENT_TIMES = 64
 """Times of sent requests kept for each endpoint: four times an engine's slots, sent in a second."""
 
-KEPT_SECONDS = 4.0
+IDLE_CONNECTION_SECONDS = 4.0
 """How long an idle connection to an endpoint is kept; shorter than endpoints keep theirs, so that a
 request does not meet their close."""
 
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldWeights:
+class EngineWeights:
     """What an engine can work with; version 0 and no layers if nothing."""
 
     version: int
@@ -118,12 +118,12 @@
     """A grant that an endpoint's limiter denied.
 
     :param urgency: of the request; a more urgent one may ask before the pause is over.
-    :param ask_after: until when others do not ask.
+    :param retry_at: until when others do not ask.
     :param turn_at: when a request that waits would have its turn.
     """
 
     urgency: int
-    ask_after: float
+    retry_at: float
     turn_at: float
 
 
@@ -136,9 +136,9 @@
 
     :param in_progress: requests that this node sent to it.
     :param reported_at: when the report came.
-    :param agent_heard_at: when its agent, which had nothing new to say, was still heard.
-    :param later_parts: requests in progress of this node that go through it after another engine.
-    :param kept_at: since when each idle connection to it is kept.
+    :param agent_contact_at: when its agent, which had nothing new to say, was still heard.
+    :param downstream_requests: requests of this node in progress in chains that it is part of.
+    :param idle_since: since when each idle connection to it is kept.
     :param denial: the latest grant that was denied: its rate limit is used up.
     """
 
@@ -150,36 +150,36 @@
     full_until: float = 0.0
     report: EngineReport | None = None
     reported_at: float = 0.0
-    agent_heard_at: float = 0.0
+    agent_contact_at: float = 0.0
     header_load: tuple[int, int, int] | None = None
     header_at: float = 0.0
-    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=SENT_KEPT))
-    later_parts: int = 0
-    kept_at: deque[float] = field(default_factory=lambda: deque(maxlen=SENT_KEPT))
+    sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_SENT_TIMES))
+    downstream_requests: int = 0
+    idle_since: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_SENT_TIMES))
     denial: Denial = NO_DENIAL
 
-    def note_kept(self, now: float) -> None:
+    def push_idle_connection(self, now: float) -> None:
         """Take that a connection to it was left open and idle."""
-        self.kept_at.append(now)
+        self.idle_since.append(now)
 
-    def take_kept(self) -> None:
+    def pop_idle_connection(self) -> None:
         """Take that a request uses the connection that was used last."""
-        if self.kept_at:
-            self.kept_at.pop()
+        if self.idle_since:
+            self.idle_since.pop()
 
-    def has_kept(self, now: float) -> bool:
+    def has_idle_connection(self, now: float) -> bool:
         """Whether a connection to it is open and idle."""
-        return bool(self.kept_at) and now - self.kept_at[-1] < KEPT_SECONDS
+        return bool(self.idle_since) and now - self.idle_since[-1] < IDLE_CONNECTION_SECONDS
 
-    def change(self, by: InProgress) -> None:
+    def add_load(self, by: InProgress) -> None:
         """Take that requests of this node began, went on or ended there."""
         self.in_progress += by
 
     def has_fresh_report(self, now: float) -> bool:
         """Whether its agent reported lately."""
-        return self.report is not None and now - self.agent_heard_at < REPORT_STALE_SECONDS
+        return self.report is not None and now - self.agent_contact_at < REPORT_STALE_SECONDS
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Take that a request was sent to it."""
         self.sent_at.append(now)
 
@@ -187,12 +187,12 @@
         """Return the requests sent from here after a time."""
         return sum(at > since for at in self.sent_at)
 
-    def know_since(self, now: float) -> float:
+    def find_load_time(self, now: float) -> float:
         """Return from when on sent requests are missing in what is known of its load."""
         known_at = self.reported_at if self.has_fresh_report(now) else self.header_at
         return max(known_at, now - REPORT_STALE_SECONDS)
 
-    def weights_of(self, model: str, now: float) -> HeldWeights:
+    def find_weights(self, model: str, now: float) -> EngineWeights:
         """Return what it holds of a model.
 
         A fresh report goes before the list, which is seconds behind: an engine that gives up a
@@ -203,11 +203,11 @@
         report = self.report
         if report is not None and report.born > self.endpoint.born:
             # The list still shows the incarnation before; what that held is gone.
-            return HeldWeights(report.version, report.span)
+            return EngineWeights(report.version, report.span)
         fresh = report is not None and self.has_fresh_report(now)
         if report is not None and fresh and (report.version == 0 or report.version >= listed):
-            return HeldWeights(report.version, report.span)
-        return HeldWeights(listed, self.endpoint.span)
+            return EngineWeights(report.version, report.span)
+        return EngineWeights(listed, self.endpoint.span)
 
 
 class Endpoints:
@@ -221,22 +221,22 @@
         self, place: PlaceName, region: RegionName, limits: LimitLedger | None = None
     ) -> None:
         self.limits = limits or LimitLedger(NodeId(""))
-        self.limits.on_change = self._take_limit
+        self.limits.on_change = self._on_limit_change
         self._place = place
         self._region = region
         self._states: dict[AgentId, EndpointState] = {}
-        self._left: dict[AgentId, int] = {}
+        self._left_born: dict[AgentId, int] = {}
         self._by_service: dict[ServiceName, list[EndpointState]] = {}
         self._by_address: dict[str, list[EndpointState]] = {}
-        self.others = PeerLoads()
+        self.peer_loads = PeerLoads()
         self.changed = asyncio.Event()
         self.revision = 0
 
-    def touch(self) -> None:
+    def mark_changed(self) -> None:
         """Take that something has changed that decides which endpoints can be used at all."""
         self.revision += 1
 
-    def notify(self) -> None:
+    def wake_waiting(self) -> None:
         """Wake whoever waits for room."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -253,15 +253,15 @@
         """
         seen = {each.agent_id: each for each in listed}
         for agent_id, endpoint in seen.items():
-            self._take(agent_id, endpoint)
+            self._update_endpoint(agent_id, endpoint)
         for agent_id, state in list(self._states.items()):
             if agent_id not in seen and trusted:
                 del self._states[agent_id]
-                _show_limit(agent_id, None)
+                _export_rate_limit(agent_id, None)
                 note(_LOG, "endpoint gone", endpoint=agent_id, service=state.endpoint.service)
         self._index()
 
-    def _take(self, agent_id: AgentId, endpoint: Endpoint) -> None:
+    def _update_endpoint(self, agent_id: AgentId, endpoint: Endpoint) -> None:
         state = self._states.get(agent_id)
         if state is not None and endpoint.born < state.endpoint.born:
             return  # an older reading, of the incarnation before
@@ -271,10 +271,10 @@
             note(_LOG, "endpoint started again", endpoint=agent_id, born=endpoint.born)
             state = None
         if state is None:
-            leaving = self._left.get(agent_id, -1) >= endpoint.born
+            leaving = self._left_born.get(agent_id, -1) >= endpoint.born
             state = EndpointState(endpoint, leaving=leaving)
             self._states[agent_id] = state
-            _show_limit(agent_id, self.find_limit(state))
+            _export_rate_limit(agent_id, self.find_rate_limit(state))
             note(
                 _LOG,
                 "endpoint listed",
@@ -288,7 +288,7 @@
 
     def _mark_leaving(self, state: EndpointState) -> None:
         """Send this incarnation nothing more, whatever the list says later."""
-        self._left[state.endpoint.agent_id] = state.endpoint.born
+        self._left_born[state.endpoint.agent_id] = state.endpoint.born
         state.leaving = True
         note(_LOG, "endpoint leaving", endpoint=state.endpoint.agent_id, born=state.endpoint.born)
 
@@ -298,8 +298,8 @@
         for state in self._states.values():
             self._by_service.setdefault(state.endpoint.service, []).append(state)
             self._by_address.setdefault(state.endpoint.address, []).append(state)
-        self.touch()
-        self.notify()
+        self.mark_changed()
+        self.wake_waiting()
 
     def list_in_progress(self) -> dict[AgentId, InProgress]:
         """Return what this node has in progress, by endpoint; others are told of it."""
@@ -317,33 +317,33 @@
         """Return the known endpoints of a service, leaving ones included."""
         return self._by_service.get(service, [])
 
-    def find_address(self, address: str) -> list[EndpointState]:
+    def find_by_address(self, address: str) -> list[EndpointState]:
         """Return the incarnations listed at an address."""
         return self._by_address.get(address, [])
 
     def record_report(self, address: str, report: EngineReport, now: float) -> None:
         """Take an agent's report of its engine, unless it is of an earlier incarnation."""
-        for state in self.find_address(address):
+        for state in self.find_by_address(address):
             if report.born >= state.endpoint.born:
-                if state.report is None or _serves_other(state.report, report):
-                    self.touch()
+                if state.report is None or _serves_different_weights(state.report, report):
+                    self.mark_changed()
                 state.report = report
-                state.reported_at = state.agent_heard_at = now
-        self.notify()
+                state.reported_at = state.agent_contact_at = now
+        self.wake_waiting()
 
     def forget_report(self, address: str) -> None:
         """Take that an engine's agent is no longer heard."""
-        for state in self.find_address(address):
+        for state in self.find_by_address(address):
             state.report = None
-        self.touch()
+        self.mark_changed()
 
     def refresh_reports(self, addresses: Iterable[str], now: float) -> None:
         """Take that agents are still heard, and have nothing new to say."""
         for address in addresses:
-            for state in self.find_address(address):
-                state.agent_heard_at = now
+            for state in self.find_by_address(address):
+                state.agent_contact_at = now
 
-    def record_header(
+    def record_header_load(
         self, state: EndpointState, load: tuple[int, int, int] | None, now: float
     ) -> None:
         """Take the load that came with an answer."""
@@ -351,7 +351,7 @@
             state.header_load = load
             state.header_at = now
 
-    def find_limit(self, state: EndpointState) -> float | None:
+    def find_rate_limit(self, state: EndpointState) -> float | None:
         """Return the requests a second that an endpoint takes, ``None`` if it has no limit."""
         return self.limits.find_rate(state.endpoint.incarnation) if self.limits else None
 
@@ -364,23 +364,23 @@
         """
         self.limits.observe(state.endpoint.incarnation, named, limit_known=limit_known)
 
-    def _take_limit(self, incarnation: IncarnationId, old: float | None) -> None:
+    def _on_limit_change(self, incarnation: IncarnationId, old: float | None) -> None:
         """Show an endpoint's limit; let requests ask again at once if it has risen or ended."""
         agent_id = AgentId(incarnation.rpartition("@")[0])
         state = self._states.get(agent_id)
         if state is None or state.endpoint.incarnation != incarnation:
             return
-        rate = self.find_limit(state)
-        _show_limit(agent_id, rate)
+        rate = self.find_rate_limit(state)
+        _export_rate_limit(agent_id, rate)
         if rate is None or (old is not None and rate > old):
             state.denial = NO_DENIAL
-        self.touch()
-        self.notify()
+        self.mark_changed()
+        self.wake_waiting()
 
-    def defer(self, state: EndpointState, denial: Denial) -> None:
+    def record_denial(self, state: EndpointState, denial: Denial) -> None:
         """Pass an endpoint over whose rate limit is used up."""
         state.denial = denial
-        self.touch()
+        self.mark_changed()
 
     def record_success(self, state: EndpointState) -> None:
         """Forget failures."""
@@ -389,40 +389,42 @@
 
     def record_failure(self, state: EndpointState, now: float) -> None:
         """Keep requests away for a while, longer each time in a row."""
-        pause = min(SUSPECT_LONGEST, SUSPECT_SECONDS * 2**state.failures)
+        pause = min(MAX_SUSPECT_SECONDS, SUSPECT_SECONDS * 2**state.failures)
         state.failures += 1
         state.suspect_until = now + pause
-        self.touch()
+        self.mark_changed()
 
     def record_full(self, state: EndpointState, now: float) -> None:
         """Pass an endpoint over for a moment: it said that it takes nothing more."""
         state.full_until = now + FULL_SECONDS
-        self.touch()
+        self.mark_changed()
 
-    def measure(self, state: EndpointState, now: float, *, all_heard: bool = False) -> EndpointLoad:
+    def measure_load(
+        self, state: EndpointState, now: float, *, all_reachable: bool = False
+    ) -> EndpointLoad:
         """Return an endpoint's load as the choice reads it.
 
-        :param all_heard: whether every other entry node tells what it has in progress there; if
+        :param all_reachable: whether every other entry node tells what it has in progress there; if
             not, the endpoint's own word counts too, which is older and knows of all.
         """
         pace = 1.0
         if state.report is not None and state.has_fresh_report(now):
             pace = max(1.0, state.report.pace)
-        told = state.in_progress + self.others.at(state.endpoint.agent_id)
+        in_progress = state.in_progress + self.peer_loads.at(state.endpoint.agent_id)
         load = EndpointLoad(
             key=state.endpoint.agent_id,
             slots=state.endpoint.slots,
-            running=told.running,
-            waiting=told.unread,
+            running=in_progress.running,
+            waiting=in_progress.unread,
             sent_since=0,
             distance=self._measure_distance(state.endpoint),
             pace=pace,
             suspect=state.suspect_until > now,
-            unread_tokens=told.unread_tokens,
-            connected=state.has_kept(now),
-            limited=self.find_limit(state) is not None,
+            unread_tokens=in_progress.unread_tokens,
+            connected=state.has_idle_connection(now),
+            limited=self.find_rate_limit(state) is not None,
         )
-        return load if all_heard else self._add_reported(load, state, now)
+        return load if all_reachable else self._add_reported(load, state, now)
 
     def _add_reported(self, load: EndpointLoad, state: EndpointState, now: float) -> EndpointLoad:
         running, waiting, slots = state.in_progress.total, 0, load.slots
@@ -430,7 +432,7 @@
             running, waiting = state.report.running, state.report.waiting
         elif state.header_load is not None and now - state.header_at < HEADER_STALE_SECONDS:
             running, waiting, slots = state.header_load
-        since = state.know_since(now)
+        since = state.find_load_time(now)
         return replace(
             load,
             slots=slots,
@@ -447,7 +449,7 @@
         return 1 if endpoint.region == self._region else 2
 
 
-def _show_limit(agent_id: AgentId, rate: float | None) -> None:
+def _export_rate_limit(agent_id: AgentId, rate: float | None) -> None:
     if rate is not None:
         RATE_LIMIT.labels(agent_id).set(rate)
     else:
@@ -455,5 +457,5 @@
             RATE_LIMIT.remove(agent_id)
 
 
-def _serves_other(before: EngineReport, report: EngineReport) -> bool:
+def _serves_different_weights(before: EngineReport, report: EngineReport) -> bool:
     return (before.version, before.span, before.born) != (report.version, report.span, report.born)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_events.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_events.py
@@ -25,7 +25,7 @@
         self._rest = b""
 
     @property
-    def torn(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether part of an event is left."""
         return bool(self._rest.strip())
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
@@ -73,13 +73,13 @@
 class Rejected:
     """The endpoint said that the request did not run.
 
-    :param mistaken: whether it is not the endpoint, or not the version, that was meant.
+    :param misdirected: whether it is not the endpoint, or not the version, that was meant.
     :param address: of the engine of a chain at which it failed, ``None`` for the first.
     :param named_limit: the rate limit that the endpoint named, ``None`` if it named none.
     """
 
     reason: str
-    mistaken: bool
+    misdirected: bool
     load: tuple[int, int, int] | None = None
     address: str | None = None
     named_limit: NamedLimit | None = None
--- a/packages/wrenloft-routing/src/wrenloft_routing/_failure_detector.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_failure_detector.py
@@ -15,11 +15,11 @@
 
 _LOG = logging.getLogger(__name__)
 
-KEPT_SECONDS = 8.0
+LOSS_TTL_SECONDS = 8.0
 """How long a loss is kept while the endpoint's restart may still be told: an entry lapses after
 three heartbeats of 1.2 s, a process needs up to 3 s to come back and a reading is 1 s old."""
 
-MOST_CONTENTS = 64
+MAX_CONTENTS = 64
 """Contents kept for one endpoint: four times an engine's slots."""
 
 ENDPOINT_FAILURES = Counter(
@@ -56,17 +56,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Run:
+class _RunningRequest:
     content: ContentId
     sent_at: float
 
 
 @dataclass(slots=True)
-class _Losses:
+class _EndpointLosses:
     endpoint: Endpoint
     contents: dict[ContentId, _Loss] = field(default_factory=dict)
     sign: FailureSign | None = None
-    fell_at: float = 0.0
+    failed_at: float = 0.0
     probing: bool = False
 
 
@@ -77,47 +77,47 @@
     is dark leaves it unanswered, and one that has restarted meanwhile is another incarnation in the
     list; an endpoint that shows none of these lost a connection and nothing else.
 
-    :param on_fall: called with each fall, and again if more requests are found to have been there.
+    :param on_failure: called with each failure, and again for each further request involved.
     """
 
     def __init__(
         self,
         endpoints: Endpoints,
-        on_fall: Callable[[EndpointFailure], None],
+        on_failure: Callable[[EndpointFailure], None],
         probe: Callable[[str], Awaitable[Liveness]] = probe_address,
     ) -> None:
         self._endpoints = endpoints
-        self._on_fall = on_fall
+        self._on_failure = on_failure
         self._probe = probe
-        self._losses: dict[IncarnationId, _Losses] = {}
-        self._running: dict[IncarnationId, list[_Run]] = {}
+        self._losses: dict[IncarnationId, _EndpointLosses] = {}
+        self._running: dict[IncarnationId, list[_RunningRequest]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     @contextmanager
-    def run(self, states: Iterable[EndpointState], content: ContentId) -> Iterator[float]:
+    def track_request(self, states: Iterable[EndpointState], content: ContentId) -> Iterator[float]:
         """Take that a request is in progress at endpoints; yields when it was sent."""
-        run = _Run(content, read_clock())
+        request = _RunningRequest(content, read_clock())
         incarnations = [each.endpoint.incarnation for each in states]
         for incarnation in incarnations:
-            self._running.setdefault(incarnation, []).append(run)
+            self._running.setdefault(incarnation, []).append(request)
         try:
-            yield run.sent_at
+            yield request.sent_at
         finally:
             for incarnation in incarnations:
-                self._running[incarnation].remove(run)
+                self._running[incarnation].remove(request)
                 if not self._running[incarnation]:
                     del self._running[incarnation]
 
-    def note_unreachable(self, state: EndpointState) -> None:
+    def record_unreachable(self, state: EndpointState) -> None:
         """Take that an endpoint took no connection.
 
         Requests in progress there may wait in silence until their deadlines, seconds after the
         fall: its next caller finds it out sooner, and repeats are held back the sooner.
         """
-        for run in list(self._running.get(state.endpoint.incarnation, ())):
-            self.note_loss(state, run.content, run.sent_at, silent=True)
+        for request in list(self._running.get(state.endpoint.incarnation, ())):
+            self.record_loss(state, request.content, request.sent_at, silent=True)
 
-    def note_loss(
+    def record_loss(
         self, state: EndpointState, content: ContentId, sent_at: float, *, silent: bool
     ) -> None:
         """Take that the answer to a request was lost at an endpoint.
@@ -132,13 +132,13 @@
         listed = self._endpoints.get(endpoint.agent_id) is state
         if state.leaving or not (listed or silent):
             return
-        losses = self._losses.setdefault(endpoint.incarnation, _Losses(endpoint))
-        if content in losses.contents or len(losses.contents) >= MOST_CONTENTS:
+        losses = self._losses.setdefault(endpoint.incarnation, _EndpointLosses(endpoint))
+        if content in losses.contents or len(losses.contents) >= MAX_CONTENTS:
             return
         if losses.sign is not None:
-            if sent_at <= losses.fell_at:
+            if sent_at <= losses.failed_at:
                 losses.contents[content] = _Loss(read_clock(), silent)
-                self._tell(losses, frozenset({content}))
+                self._report(losses, frozenset({content}))
             return
         losses.contents[content] = _Loss(read_clock(), silent)
         if not losses.probing:
@@ -147,7 +147,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _check(self, losses: _Losses) -> None:
+    async def _check(self, losses: _EndpointLosses) -> None:
         liveness = await self._probe(losses.endpoint.address)
         losses.probing = False
         if liveness is Liveness.REFUSED:
@@ -155,9 +155,9 @@
         elif liveness is Liveness.SILENT:
             self._confirm(losses, FailureSign.SILENT)
         else:
-            self._clear(losses)
+            self._discard_losses(losses)
 
-    def _clear(self, losses: _Losses) -> None:
+    def _discard_losses(self, losses: _EndpointLosses) -> None:
         """Take that an endpoint is there.
 
         A connection that broke just now was broken by something else. After a silence of seconds
@@ -173,7 +173,7 @@
 
     def review(self) -> None:
         """Compare losses with a new reading of the list, and drop old ones."""
-        oldest = read_clock() - KEPT_SECONDS
+        oldest = read_clock() - LOSS_TTL_SECONDS
         for incarnation, losses in list(self._losses.items()):
             if all(each.at < oldest for each in losses.contents.values()):
                 del self._losses[incarnation]
@@ -181,18 +181,18 @@
                 self._confirm(losses, FailureSign.RESTARTED)
 
     def _has_restarted(self, endpoint: Endpoint) -> bool:
-        listed = self._endpoints.find_address(endpoint.address)
+        listed = self._endpoints.find_by_address(endpoint.address)
         return any(each.endpoint.incarnation != endpoint.incarnation for each in listed)
 
-    def _confirm(self, losses: _Losses, sign: FailureSign) -> None:
+    def _confirm(self, losses: _EndpointLosses, sign: FailureSign) -> None:
         if losses.sign is not None or not losses.contents:
             return
         losses.sign = sign
-        losses.fell_at = min(each.at for each in losses.contents.values())
+        losses.failed_at = min(each.at for each in losses.contents.values())
         ENDPOINT_FAILURES.labels(sign.value).inc()
-        self._tell(losses, frozenset(losses.contents))
+        self._report(losses, frozenset(losses.contents))
 
-    def _tell(self, losses: _Losses, contents: frozenset[ContentId]) -> None:
+    def _report(self, losses: _EndpointLosses, contents: frozenset[ContentId]) -> None:
         assert losses.sign is not None
         endpoint = losses.endpoint
         note(
@@ -201,10 +201,12 @@
             endpoint=endpoint.agent_id,
             address=endpoint.address,
             sign=losses.sign.value,
-            lost_ms_ago=round((read_clock() - losses.fell_at) * 1000),
+            lost_ms_ago=round((read_clock() - losses.failed_at) * 1000),
             contents=sorted(contents),
         )
-        self._on_fall(EndpointFailure(endpoint.incarnation, contents, losses.sign, losses.fell_at))
+        self._on_failure(
+            EndpointFailure(endpoint.incarnation, contents, losses.sign, losses.failed_at)
+        )
 
     async def close(self) -> None:
         """Give up what is being asked."""
--- a/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
@@ -17,10 +17,10 @@
     estimate_spent,
     rank_urgency,
 )
-from wrenloft_routing._budget import SharedBudget
+from wrenloft_routing._budget import SharedRetryBudget
 from wrenloft_routing._content import identify_content
 from wrenloft_routing._crash_guard import CrashGuard
-from wrenloft_routing._crash_ledger import Hold
+from wrenloft_routing._crash_ledger import Quarantine
 from wrenloft_routing._endings import give_up, send_failure, send_refusal
 from wrenloft_routing._endpoints import Endpoints, EndpointState
 from wrenloft_routing._exchange import (
@@ -37,15 +37,15 @@
 from wrenloft_routing._failure_detector import FailureDetector
 from wrenloft_routing._gate import Gate, Placed, Refused
 from wrenloft_routing._loads import NO_LOAD, InProgress
-from wrenloft_routing._proof import CurrencyProof
+from wrenloft_routing._proof import FreshnessProof
 from wrenloft_routing._request_log import (
     ATTEMPTS,
-    FIRST_SECONDS,
-    conclude,
+    FIRST_EVENT_SECONDS,
     log_attempt,
+    record_outcome,
 )
 from wrenloft_routing._request_progress import RequestProgress, build_placement_request
-from wrenloft_routing._streams import StreamEnd, pump_stream
+from wrenloft_routing._streams import StreamEnd, forward_stream
 from wrenloft_routing._table import RoutingTable, RuleKind, pick_target
 
 _LOG = logging.getLogger(__name__)
@@ -54,14 +54,14 @@
 """Endpoints that may fail to connect before a request is given up; a connection is tried for a
 quarter of a second, so this is one second in all."""
 
-_SILENCE_AIMS = 4.0
+_SILENCE_OBJECTIVES = 4.0
 """Aims after which an idempotent request that has no answer is tried elsewhere, if time is left:
 late already, it can still be answered before its caller gives up."""
 
 _SILENCE_SHARE = 0.4
 """Part of the time left that a silent endpoint may use up before another is tried."""
 
-PATIENCE_DECAY = 0.9995
+TIMEOUT_DECAY = 0.9995
 """By which the longest patience of a rule fades with each request, so that a shorter one in a new
 configuration is learnt within some hundred requests."""
 
@@ -77,10 +77,10 @@
 """Longest wait for the rest of an answer that is not passed on."""
 
 
-TakeGrants = Callable[[Sequence[EndpointState], int], Awaitable[bool]]
+RequestGrants = Callable[[Sequence[EndpointState], int], Awaitable[bool]]
 
 
-async def _need_no_grants(states: Sequence[EndpointState], urgency: int) -> bool:
+async def _grant_all(states: Sequence[EndpointState], urgency: int) -> bool:
     return True
 
 
@@ -88,7 +88,7 @@
     """Takes callers' requests and sees each to its final answer.
 
     :param open_attempt: sends one attempt and returns the head of the answer.
-    :param take_grants: returns whether the rate limits of endpoints allow one request, of an
+    :param request_grants: returns whether the rate limits of endpoints allow one request, of an
         urgency of which the lowest goes first.
     """
 
@@ -96,13 +96,13 @@
         self,
         endpoints: Endpoints,
         gate: Gate,
-        budget: SharedBudget,
-        proof: CurrencyProof,
+        budget: SharedRetryBudget,
+        proof: FreshnessProof,
         open_attempt: OpenAttempt,
         random: Random,
         detector: FailureDetector,
         guard: CrashGuard,
-        take_grants: TakeGrants = _need_no_grants,
+        request_grants: RequestGrants = _grant_all,
     ) -> None:
         self.table: RoutingTable | None = None
         self._endpoints = endpoints
@@ -113,22 +113,22 @@
         self._random = random
         self._detector = detector
         self._guard = guard
-        self._take_grants = take_grants
-        self._longest: dict[str, float] = {}
+        self._request_grants = request_grants
+        self._longest_timeouts: dict[str, float] = {}
 
     async def forward(self, request: CallerRequest, sink: AnswerSink) -> Outcome:
         """Answer a request; every way out gives exactly one final answer."""
         progress = self._admit(request)
         if isinstance(progress, NotRun):
             await send_refusal(progress, sink)
-            conclude(request, "none", progress, None)
+            record_outcome(request, "none", progress, None)
             return progress
         outcome = await self._run(progress, sink)
         if isinstance(outcome, NotRun):
             await send_refusal(outcome, sink)
         elif isinstance(outcome, Unknown):
             await send_failure(progress, outcome, sink)
-        conclude(request, progress.rule.kind.value, outcome, progress)
+        record_outcome(request, progress.rule.kind.value, outcome, progress)
         return outcome
 
     def _admit(self, request: CallerRequest) -> RequestProgress | NotRun:
@@ -153,69 +153,69 @@
         service = table.services.get(pick_target(rule.targets, self._random))
         if service is None:
             return NotRun("admit", "service not configured", retry_after=0.5)
-        patience = rule.timeout if request.patience is None else request.patience
-        deadline = request.arrived + min(patience, rule.timeout)
+        caller_timeout = rule.timeout if request.patience is None else request.patience
+        deadline = request.arrived + min(caller_timeout, rule.timeout)
         content = identify_content(organisation, request.target, request.body_digest)
         progress = RequestProgress(request, rule, service, organisation, rank, deadline, content)
-        progress.spent = self._estimate_spent(rule.name, patience)
+        progress.elapsed = self._estimate_elapsed(rule.name, caller_timeout)
         return progress
 
-    def _estimate_spent(self, rule: str, patience: float) -> float:
+    def _estimate_elapsed(self, rule: str, caller_timeout: float) -> float:
         """Estimate the seconds since the caller's first attempt, from how long it will still wait.
 
-        :param patience: seconds.
+        :param caller_timeout: seconds.
         """
-        longest = max(patience, self._longest.get(rule, 0.0) * PATIENCE_DECAY)
-        self._longest[rule] = longest
-        return estimate_spent(patience, longest)
+        longest = max(caller_timeout, self._longest_timeouts.get(rule, 0.0) * TIMEOUT_DECAY)
+        self._longest_timeouts[rule] = longest
+        return estimate_spent(caller_timeout, longest)
 
     async def _run(self, progress: RequestProgress, sink: AnswerSink) -> Outcome:
         """Send attempts until one gives the answer or no further one is allowed."""
-        self._budget.earn(progress.service.name, read_clock())
+        self._budget.deposit(progress.service.name, read_clock())
         while True:
-            if (hold := await self._find_hold(progress)) is not None:
-                return self._hold_back(progress, hold)
+            if (quarantine := await self._find_quarantine(progress)) is not None:
+                return self._refuse_quarantined(progress, quarantine)
             placed = await self._place(progress)
             if isinstance(placed, Refused):
                 return give_up(progress, "place", placed, self._random)
-            if not progress.on_trial and self._guard.find_hold(progress.content) is not None:
+            if not progress.is_probe and self._guard.find_quarantine(progress.content) is not None:
                 continue  # word of it came while the request waited for room
             outcome = await self._attempt(progress, placed, sink)
             if outcome is not None:
                 return outcome
 
-    async def _find_hold(self, progress: RequestProgress) -> Hold | None:
+    async def _find_quarantine(self, progress: RequestProgress) -> Quarantine | None:
         """Return why a request must not be sent, ``None`` if it may be.
 
         A request that crashes each engine that begins it comes again under a new id, at any node.
         Unless all tries of one content end together, it takes the fleet down and with it every
         stream that runs there; refusing it after the third crash leaves the others to all callers.
         """
-        hold = self._guard.find_hold(progress.content)
-        if hold is None:
+        quarantine = self._guard.find_quarantine(progress.content)
+        if quarantine is None:
             return None
         if progress.attempts:
-            return hold
-        progress.on_trial = progress.on_trial or await self._guard.claim_trial(hold)
-        return None if progress.on_trial else hold
+            return quarantine
+        progress.is_probe = progress.is_probe or await self._guard.claim_probe(quarantine)
+        return None if progress.is_probe else quarantine
 
-    def _hold_back(self, progress: RequestProgress, hold: Hold) -> Outcome:
+    def _refuse_quarantined(self, progress: RequestProgress, quarantine: Quarantine) -> Outcome:
         """End a request whose content is held back; it is told when a trial is due."""
-        self._guard.count_held_back(hold)
-        retry_after = self._guard.measure_return(hold)
+        self._guard.count_refusal(quarantine)
+        retry_after = self._guard.measure_retry_after(quarantine)
         note(
             _LOG,
             "request held back",
             request=progress.request.request_id,
             content=progress.content,
-            crashes=hold.count,
-            age_ms=round(hold.age * 1000),
-            source=hold.source.value,
+            crashes=quarantine.count,
+            age_ms=round(quarantine.age * 1000),
+            source=quarantine.source.value,
             attempts=progress.attempts,
             retry_after=round(retry_after, 2),
         )
-        reason = f"{hold.count} endpoints fell under this request"
-        if progress.may_have_run or progress.pump.begun:
+        reason = f"{quarantine.count} endpoints fell under this request"
+        if progress.may_have_run or progress.stream.begun:
             return Unknown("hold", reason, progress.peer)
         return NotRun("hold", reason, retry_after=retry_after)
 
@@ -226,46 +226,46 @@
         # that comes late is better than a refusal while endpoints have room.
         untried = progress.attempts == 0 and progress.not_sent == 0
         since = progress.request.arrived if untried else read_clock()
-        wanted = build_placement_request(progress, since)
+        placement = build_placement_request(progress, since)
         while True:
-            placed = await self._gate.place(wanted, progress.tried)
+            placed = await self._gate.place(placement, progress.tried)
             if isinstance(placed, Refused):
                 return placed
-            if await self._take_grants(placed.states, wanted.urgency):
+            if await self._request_grants(placed.states, placement.urgency):
                 return placed
-            wanted.denials += 1
+            placement.denials += 1
 
     async def _attempt(
         self, progress: RequestProgress, placed: Placed, sink: AnswerSink
     ) -> Outcome | None:
         """Send once; ``None`` means that another attempt may follow."""
         state = placed.state
-        state.note_sent(read_clock())
-        state.take_kept()
+        state.record_sent(read_clock())
+        state.pop_idle_connection()
         tokens = round(progress.request.prompt_tokens)
-        progress.share = InProgress(unread=1, unread_tokens=tokens)
-        state.change(progress.share)
+        progress.load = InProgress(unread=1, unread_tokens=tokens)
+        state.add_load(progress.load)
         for stage in placed.chain[1:]:
-            stage.state.later_parts += 1
+            stage.state.downstream_requests += 1
         progress.peer = state.endpoint.agent_id
         progress.prediction = placed.prediction
         begin_limit = self._gate.measure_begin_limit(state, progress.service)
         progress.begin_by = read_clock() + begin_limit - BEGIN_MARGIN_SECONDS
         revision = self.table.revision if self.table else 0
-        rate_limit = self._endpoints.find_limit(state)
+        rate_limit = self._endpoints.find_rate_limit(state)
         progress.limit_known = rate_limit is not None
         log_attempt(progress, placed, revision, self._proof.age, rate_limit)
         try:
-            with self._detector.run(placed.states, progress.content) as started:
+            with self._detector.track_request(placed.states, progress.content) as started:
                 progress.sent_at = started
                 result = await self._open_within(progress, placed)
                 if not isinstance(result, NotSent | Rejected | Lost):
-                    return await self._take_reply(progress, placed, result, sink, started)
+                    return await self._handle_reply(progress, placed, result, sink, started)
         finally:
-            state.change(NO_LOAD - progress.share)
+            state.add_load(NO_LOAD - progress.load)
             for stage in placed.chain[1:]:
-                stage.state.later_parts -= 1
-            self._endpoints.notify()
+                stage.state.downstream_requests -= 1
+            self._endpoints.wake_waiting()
         ATTEMPTS.labels(type(result).__name__).inc()
         note(
             _LOG,
@@ -277,7 +277,7 @@
             ms=round((read_clock() - started) * 1000),
         )
         at_fault = self._find_at_fault(state, result)
-        self._note_losses(progress, placed, result, at_fault)
+        self._record_losses(progress, placed, result, at_fault)
         progress.tried.update(each.endpoint.agent_id for each in at_fault)
         if isinstance(result, NotSent):
             return self._after_not_sent(progress, state, result)
@@ -296,10 +296,10 @@
         An engine of a chain names the one that refused; the others may take the request again.
         """
         if isinstance(result, Rejected) and result.address is not None:
-            return self._endpoints.find_address(result.address) or [state]
+            return self._endpoints.find_by_address(result.address) or [state]
         return [state]
 
-    def _note_losses(
+    def _record_losses(
         self,
         progress: RequestProgress,
         placed: Placed,
@@ -311,15 +311,17 @@
         In a chain the first engine answers for one that fell behind it.
         """
         if isinstance(result, Lost) and result.at_fault:
-            self._look_at(progress, placed, silent=result.silent)
+            self._record_loss(progress, placed, silent=result.silent)
         elif isinstance(result, Rejected):
             for each in at_fault:
                 if each is not placed.state:
-                    self._detector.note_loss(each, progress.content, progress.sent_at, silent=True)
+                    self._detector.record_loss(
+                        each, progress.content, progress.sent_at, silent=True
+                    )
 
-    def _look_at(self, progress: RequestProgress, placed: Placed, *, silent: bool) -> None:
+    def _record_loss(self, progress: RequestProgress, placed: Placed, *, silent: bool) -> None:
         for state in placed.states:
-            self._detector.note_loss(state, progress.content, progress.sent_at, silent=silent)
+            self._detector.record_loss(state, progress.content, progress.sent_at, silent=silent)
 
     async def _open_within(
         self, progress: RequestProgress, placed: Placed
@@ -331,14 +333,14 @@
             left=left,
             organisation=progress.organisation,
             version=placed.version,
-            last_event=progress.pump.last,
+            last_event=progress.stream.last_event,
             chain=placed.chain,
             urgency=rank_urgency(
-                progress.rank, late=progress.spent > 0.0, begun=progress.pump.begun
+                progress.rank, late=progress.elapsed > 0.0, begun=progress.stream.begun
             ),
         )
         try:
-            async with asyncio.timeout(self._silence_limit(progress, left)):
+            async with asyncio.timeout(self._silence_timeout(progress, left)):
                 return await self._open(attempt)
         except TimeoutError:
             if read_clock() >= progress.begin_by:
@@ -347,25 +349,25 @@
                 return Lost("not begun before the version is due", at_fault=False)
             return Lost("no answer in time", silent=True)
 
-    def _silence_limit(self, progress: RequestProgress, left: float) -> float:
+    def _silence_timeout(self, progress: RequestProgress, left: float) -> float:
         """Return how long an endpoint may stay silent before it is given up."""
-        if not progress.pump.begun:
+        if not progress.stream.begun:
             # A request that waits at a slow endpoint would begin on a version past its deadline;
             # given up before, its connection closes and the endpoint drops it.
             left = max(0.0, min(left, progress.begin_by - read_clock()))
-        if not self._may_repeat(progress, progress.attempts + 1):
+        if not self._can_retry(progress, progress.attempts + 1):
             return left
-        return min(left, max(progress.rule.aim * _SILENCE_AIMS, left * _SILENCE_SHARE))
+        return min(left, max(progress.rule.aim * _SILENCE_OBJECTIVES, left * _SILENCE_SHARE))
 
-    def _may_repeat(self, progress: RequestProgress, attempts: int) -> bool:
-        allowed = progress.rule.idempotent and not progress.on_trial
+    def _can_retry(self, progress: RequestProgress, attempts: int) -> bool:
+        allowed = progress.rule.idempotent and not progress.is_probe
         return allowed and attempts < progress.rule.max_attempts
 
     def _after_not_sent(
         self, progress: RequestProgress, state: EndpointState, result: NotSent
     ) -> Outcome | None:
         self._endpoints.record_failure(state, read_clock())
-        self._detector.note_unreachable(state)
+        self._detector.record_unreachable(state)
         progress.not_sent += 1
         if progress.not_sent >= _MAX_CONNECT_ATTEMPTS:
             return give_up(progress, "connect", Refused(result.reason, 1), self._random)
@@ -380,27 +382,27 @@
     ) -> Outcome | None:
         """A rejected request has not run, so it may go elsewhere if the budget allows."""
         now = read_clock()
-        self._endpoints.record_header(state, result.load, now)
-        if result.named_limit is not None and not result.mistaken:
+        self._endpoints.record_header_load(state, result.load, now)
+        if result.named_limit is not None and not result.misdirected:
             self._endpoints.record_limit(state, result.named_limit, limit_known=True)
         for each in at_fault:
             self._endpoints.record_full(each, now)
-            if result.mistaken:
+            if result.misdirected:
                 self._endpoints.record_failure(each, now)
-        allowed = progress.attempts < progress.rule.max_attempts and not progress.on_trial
-        if allowed and self._budget.spend(progress.service.name, now):
+        allowed = progress.attempts < progress.rule.max_attempts and not progress.is_probe
+        if allowed and self._budget.withdraw(progress.service.name, now):
             return None
         return give_up(progress, "endpoint", Refused(result.reason, 1), self._random)
 
     def _after_lost(self, progress: RequestProgress, step: str, reason: str) -> Outcome | None:
         progress.may_have_run = True
-        if self._may_repeat(progress, progress.attempts) and progress.left > _MIN_TIME_LEFT_SECONDS:
-            if self._budget.spend(progress.service.name, read_clock()):
+        if self._can_retry(progress, progress.attempts) and progress.left > _MIN_TIME_LEFT_SECONDS:
+            if self._budget.withdraw(progress.service.name, read_clock()):
                 return None
             reason = f"{reason}; no second try left in the budget"
         return Unknown(step, reason, progress.peer)
 
-    async def _take_reply(
+    async def _handle_reply(
         self,
         progress: RequestProgress,
         placed: Placed,
@@ -412,38 +414,38 @@
         state = placed.state
         progress.attempts += 1
         now = read_clock()
-        self._endpoints.record_header(state, reply.load, now)
+        self._endpoints.record_header_load(state, reply.load, now)
         if reply.named_limit is not None or (reply.genuine and reply.status < 500):
             self._endpoints.record_limit(state, reply.named_limit, limit_known=progress.limit_known)
         try:
             if not reply.genuine:
-                return self._drop_reply(progress, placed, "answer is not this request's")
+                return self._discard_reply(progress, placed, "answer is not this request's")
             if reply.status >= 500 and placed.chain:
-                self._look_at(progress, placed, silent=True)  # it may answer for one behind it
-            failed = reply.status >= 500 and self._may_repeat(progress, progress.attempts)
-            if failed and self._budget.spend(progress.service.name, now):
+                self._record_loss(progress, placed, silent=True)  # it may answer for one behind it
+            failed = reply.status >= 500 and self._can_retry(progress, progress.attempts)
+            if failed and self._budget.withdraw(progress.service.name, now):
                 ATTEMPTS.labels("failed").inc()
                 progress.tried.add(state.endpoint.agent_id)
                 progress.may_have_run = True
                 await self._drain(reply)
                 return None
-            goes_on = reply.is_stream and reply.status < 300
-            if progress.pump.begun and not goes_on:
+            streams = reply.is_stream and reply.status < 300
+            if progress.stream.begun and not streams:
                 # A failure sent behind events of another engine would be bytes of no answer.
                 reason = f"status {reply.status} behind a begun stream"
-                return self._drop_reply(progress, placed, reason)
-            if goes_on:
+                return self._discard_reply(progress, placed, reason)
+            if streams:
                 return await self._relay_stream(progress, placed, reply, sink)
             return await self._relay_whole(progress, placed, reply, sink, started)
         finally:
             await reply.close(reusable=False)
 
     @staticmethod
-    async def _keep(state: EndpointState, reply: Reply) -> None:
+    async def _release_connection(state: EndpointState, reply: Reply) -> None:
         """Leave the connection of a whole answer open for another request."""
         await reply.close(reusable=True)
         if not reply.leaving:
-            state.note_kept(read_clock())
+            state.push_idle_connection(read_clock())
 
     async def _drain(self, reply: Reply) -> None:
         """Read a short answer to its end, so that its connection can be used again."""
@@ -454,7 +456,7 @@
         except (ReplyBrokenError, TimeoutError):
             return
 
-    def _drop_reply(
+    def _discard_reply(
         self, progress: RequestProgress, placed: Placed, reason: str, *, silent: bool = False
     ) -> Outcome | None:
         ATTEMPTS.labels("broken").inc()
@@ -466,7 +468,7 @@
             reason=reason,
         )
         progress.tried.add(placed.state.endpoint.agent_id)
-        self._look_at(progress, placed, silent=silent)
+        self._record_loss(progress, placed, silent=silent)
         return self._after_lost(progress, "read", reason)
 
     async def _relay_whole(
@@ -482,16 +484,16 @@
             async with asyncio.timeout(max(0.0, progress.left)):
                 body = await reply.read_whole()
         except TimeoutError:
-            self._look_at(progress, placed, silent=True)
+            self._record_loss(progress, placed, silent=True)
             return Unknown("read", "deadline passed", progress.peer)
         except ReplyBrokenError as error:
-            return self._drop_reply(progress, placed, f"answer broke off: {error}")
-        await self._keep(state, reply)
+            return self._discard_reply(progress, placed, f"answer broke off: {error}")
+        await self._release_connection(state, reply)
         self._endpoints.record_success(state)
         if reply.status < 500:
             self._guard.record_success(progress.content)
         if progress.rule.kind is not RuleKind.STREAM:
-            self._gate.record_work(progress.service.name, read_clock() - started)
+            self._gate.record_work_seconds(progress.service.name, read_clock() - started)
         ATTEMPTS.labels("answered").inc()
         await sink.send_whole(reply.status, reply.headers, body)
         return Done(progress.peer)
@@ -500,44 +502,44 @@
         self, progress: RequestProgress, placed: Placed, reply: Reply, sink: AnswerSink
     ) -> Outcome | None:
         state = placed.state
-        first = not progress.pump.begun
+        first = not progress.stream.begun
 
-        def note_begun() -> None:
+        def mark_running() -> None:
             running = InProgress(running=1)
-            state.change(running - progress.share)
-            progress.share = running
+            state.add_load(running - progress.load)
+            progress.load = running
 
-        end = await pump_stream(
+        end = await forward_stream(
             reply,
             sink,
-            progress.pump,
-            first_limit=self._silence_limit(progress, progress.left),
-            gap_aim=progress.rule.gap_aim,
+            progress.stream,
+            first_event_timeout=self._silence_timeout(progress, progress.left),
+            gap_objective=progress.rule.gap_objective,
             deadline=progress.deadline,
-            resumable=self._may_repeat(progress, progress.attempts),
-            on_begin=note_begun,
+            resumable=self._can_retry(progress, progress.attempts),
+            on_first_event=mark_running,
         )
-        if first and progress.pump.begun:
-            FIRST_SECONDS.observe(progress.pump.begun_at - progress.request.arrived)
-            self._note_first_event(progress)
+        if first and progress.stream.begun:
+            FIRST_EVENT_SECONDS.observe(progress.stream.begun_at - progress.request.arrived)
+            self._record_first_event(progress)
         if end is StreamEnd.COMPLETE:
-            await self._keep(state, reply)
+            await self._release_connection(state, reply)
             self._endpoints.record_success(state)
             self._guard.record_success(progress.content)
             ATTEMPTS.labels("answered").inc()
             await sink.end()
             return Done(progress.peer)
         if end is StreamEnd.DEADLINE:
-            self._look_at(progress, placed, silent=True)
+            self._record_loss(progress, placed, silent=True)
             return Unknown("stream", "deadline passed", progress.peer)
         if end is StreamEnd.STALLED:
             self._endpoints.record_failure(state, read_clock())
         stalled = end is StreamEnd.STALLED
-        return self._drop_reply(progress, placed, f"stream {end.value}", silent=stalled)
+        return self._discard_reply(progress, placed, f"stream {end.value}", silent=stalled)
 
-    def _note_first_event(self, progress: RequestProgress) -> None:
+    def _record_first_event(self, progress: RequestProgress) -> None:
         """Learn from first attempts only; others were late before they were sent."""
-        if not progress.spent and progress.attempts == 1:
-            seconds = progress.pump.begun_at - progress.request.arrived
+        if not progress.elapsed and progress.attempts == 1:
+            seconds = progress.stream.begun_at - progress.request.arrived
             in_time = seconds <= progress.rule.aim
             self._gate.record_first_event(progress.service.name, in_time=in_time)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
@@ -11,7 +11,7 @@
 
 from wrenloft_core import AgentId, ContentId, IncarnationId, NodeId, ServiceName
 from wrenloft_policy import LayerSpan, RateLimit, Standing
-from wrenloft_routing._crash_ledger import CrashNews, ToldCrash
+from wrenloft_routing._crash_ledger import CrashUpdates, ReportedCrash
 from wrenloft_routing._endpoints import EngineReport
 from wrenloft_routing._limit_ledger import LimitNews
 from wrenloft_routing._loads import InProgress, QueueLength
@@ -71,7 +71,7 @@
     lost: tuple[str, ...] = ()
     states: dict[NodeId, NodeState] | None = None
     readings: tuple[ReadingChange, ...] = ()
-    crashes: CrashNews | None = None
+    crashes: CrashUpdates | None = None
     limits: LimitNews | None = None
 
 
@@ -127,22 +127,22 @@
     )
 
 
-def encode_crashes(news: CrashNews) -> dict[str, list[list[Any]]]:
+def encode_crashes(news: CrashUpdates) -> dict[str, list[list[Any]]]:
     """Return rows for each content."""
     return {
         content: [
-            [incarnation, round(told.age, 3), int(told.standing)]
+            [incarnation, round(told.age, 3), int(told.status)]
             for incarnation, told in crashes.items()
         ]
         for content, crashes in news.items()
     }
 
 
-def decode_crashes(rows: dict[str, list[list[Any]]]) -> CrashNews:
+def decode_crashes(rows: dict[str, list[list[Any]]]) -> CrashUpdates:
     """Return what rows say."""
     return {
         ContentId(str(content)): {
-            IncarnationId(str(incarnation)): ToldCrash(float(age), Standing(standing))
+            IncarnationId(str(incarnation)): ReportedCrash(float(age), Standing(standing))
             for incarnation, age, standing in crashes
         }
         for content, crashes in rows.items()
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -28,26 +28,26 @@
     predict_answer,
     share_room,
 )
-from wrenloft_routing._chains import Able, ChainStage, list_able
+from wrenloft_routing._chains import ChainStage, Eligible, list_eligible
 from wrenloft_routing._endpoints import Endpoints, EndpointState
 from wrenloft_routing._loads import QueueLength
 from wrenloft_routing._snapshot import Opening, Snapshot
 from wrenloft_routing._table import BackendService
 
-WORK_SECONDS = 0.03
+DEFAULT_WORK_SECONDS = 0.03
 """Seconds a plain service works on a request, until answers have shown better."""
 
 _WORK_WEIGHT = 0.05
 """Weight of one answer in the running mean: the last 20 answers count most."""
 
-MOST_DENIALS = 5
+MAX_DENIALS = 5
 """Grants denied in a row after which a request stops asking. Each takes a few milliseconds; where
 all endpoints are limited and used up, asking every one of them would be a wait by itself."""
 
 FRESH_REFUSED_SECONDS = 1.0
 """How long after a fresh request found no room at limited endpoints late ones do not wait there."""
 
-_LEAST_WAIT = 0.005
+_MIN_WAIT_SECONDS = 0.005
 """Shortest pause between two looks at the endpoints, in seconds."""
 
 
@@ -70,24 +70,24 @@
     rank: int
     prompt_tokens: float
     since: float
-    spent: float
-    aim: float
+    elapsed: float
+    latency_objective: float
     deadline: float
     begun: bool = False
     not_before: float = 0.0
     denials: int = 0
 
     @property
-    def asks_limited(self) -> bool:
+    def can_request_grants(self) -> bool:
         """Whether it may still ask for grants, and not only go where none is needed."""
-        return self.denials < MOST_DENIALS
+        return self.denials < MAX_DENIALS
 
     @property
     def order(self) -> tuple[int, bool]:
         """What goes first: the most urgent, and of these those that can still be in time."""
         if self.begun:
             return -1, False
-        return self.rank, self.is_late
+        return self.rank, self.is_overdue
 
     @property
     def urgency(self) -> int:
@@ -96,9 +96,9 @@
         return 2 * rank + late
 
     @property
-    def is_late(self) -> bool:
+    def is_overdue(self) -> bool:
         """Whether the answer comes late in any case."""
-        return not self.begun and self.spent > self.aim * HOLD_SHARE
+        return not self.begun and self.elapsed > self.latency_objective * HOLD_SHARE
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,24 +169,24 @@
         self._version_seconds = version_seconds
         self._waiting: dict[ServiceName, list[PlacementRequest]] = {}
         self._work: dict[ServiceName, float] = {}
-        self._aim_shares: dict[ServiceName, float] = {}
+        self._objective_shares: dict[ServiceName, float] = {}
         self._wanted: dict[str, list[WantedVersion]] = {}
         self._count_nodes = count_nodes
         self._update_interval = update_interval
         self._fresh_refused_at: dict[ServiceName, float] = {}
         self._snapshots: dict[tuple[ServiceName, bool], Snapshot] = {}
 
-    def record_work(self, service: ServiceName, seconds: float) -> None:
+    def record_work_seconds(self, service: ServiceName, seconds: float) -> None:
         """Take the time that a plain service needed for an answer."""
-        mean = self._work.get(service, WORK_SECONDS)
+        mean = self._work.get(service, DEFAULT_WORK_SECONDS)
         self._work[service] = mean + _WORK_WEIGHT * (seconds - mean)
 
     def record_first_event(self, service: ServiceName, *, in_time: bool) -> None:
         """Take whether a request that could be in time had its first event in time."""
-        share = self._aim_shares.get(service, AIM_SHARE_MOST)
-        self._aim_shares[service] = adjust_aim_share(share, in_time=in_time)
+        share = self._objective_shares.get(service, AIM_SHARE_MOST)
+        self._objective_shares[service] = adjust_aim_share(share, in_time=in_time)
 
-    def name_version(self, model: str, wanted: WantedVersion) -> bool:
+    def announce_version(self, model: str, wanted: WantedVersion) -> bool:
         """Take a version that operators named; return whether it is newer than all known.
 
         Each has its own deadline: a third version named before the second is in service does
@@ -198,7 +198,7 @@
         known.append(wanted)
         return True
 
-    def required_version(self, service: BackendService, now: float) -> int:
+    def find_required_version(self, service: BackendService, now: float) -> int:
         """Return the oldest version on which requests may begin now, 0 for any."""
         due = [
             each.number
@@ -215,17 +215,19 @@
         if service.model is None:
             return float("inf")
         now = read_clock()
-        version = state.weights_of(service.model, now).version
+        version = state.find_weights(service.model, now).version
         wanted = self._wanted.get(service.model, ())
-        dues = [each.seen_at + self._version_seconds for each in wanted if each.number > version]
-        return min(dues, default=float("inf")) - now
+        deadlines = [
+            each.seen_at + self._version_seconds for each in wanted if each.number > version
+        ]
+        return min(deadlines, default=float("inf")) - now
 
     async def place(
         self, request: PlacementRequest, tried: Collection[AgentId]
     ) -> Placed | Refused:
         """Return an endpoint with room, waiting a moment for one if it must."""
-        line = self._waiting.setdefault(request.service.name, [])
-        line.append(request)
+        queue = self._waiting.setdefault(request.service.name, [])
+        queue.append(request)
         try:
             while True:
                 changed = self._endpoints.changed
@@ -234,19 +236,21 @@
                     return outcome
                 await _wait(changed, request)
         finally:
-            line.remove(request)
+            queue.remove(request)
 
     def _decide(
         self, request: PlacementRequest, tried: Collection[AgentId]
     ) -> Placed | Refused | None:
         now = read_clock()
-        snapshot = self._look(request.service, tried, now, limited=request.asks_limited)
-        choice, verdict = self._weigh(request, snapshot, now)
+        snapshot = self._get_snapshot(
+            request.service, tried, now, limited=request.can_request_grants
+        )
+        choice, verdict = self._choose_endpoint(request, snapshot, now)
         if verdict is Verdict.SEND and choice is not None:
             chosen = snapshot.find(choice.key)
             snapshot.count_sent(choice.key, request.prompt_tokens)
             return self._place_at(request, chosen, choice.prediction, len(snapshot.able), now)
-        opening = snapshot.opening if request.asks_limited else None
+        opening = snapshot.opening if request.can_request_grants else None
         if choice is None and opening is not None and request.urgency < opening.urgency:
             idle = self._predict_idle(request, snapshot.work)
             return self._place_at(request, opening.least_urgent, idle, 1, now)
@@ -264,15 +268,15 @@
     def _place_at(
         self,
         request: PlacementRequest,
-        chosen: Able,
+        chosen: Eligible,
         prediction: Prediction,
         candidates: int,
         now: float,
     ) -> Placed:
         # Engines of a chain are told the version as well: one that has just gone on to the next
         # version would otherwise run its layers of that.
-        insisted = self.required_version(request.service, now) or chosen.chain
-        version = chosen.version if insisted else None
+        pinned = self.find_required_version(request.service, now) or chosen.chain
+        version = chosen.version if pinned else None
         return Placed(chosen.state, prediction, candidates, version, chosen.chain)
 
     def _find_turn(
@@ -284,7 +288,7 @@
             return None
         service = request.service.name
         ahead = self._count_ahead(request)
-        elsewhere = self._endpoints.others.queue_of(service)
+        elsewhere = self._endpoints.peer_loads.queue_of(service)
         wait = max(0.0, opening.at - now) + (ahead + elsewhere.fresh) / opening.rate
         waiting = len(self._waiting[service]) + elsewhere.fresh + elsewhere.late
         return LimitedTurn(wait, opening.rate, waiting)
@@ -292,15 +296,17 @@
     def _decide_turn(
         self, request: PlacementRequest, turn: LimitedTurn, work: float, now: float
     ) -> Refused | None:
-        least = self._measure_least(request, work)
-        held, left = now - request.since, request.deadline - now
-        verdict = decide_limited_turn(turn.wait, least, held, request.spent, request.aim, left)
-        if request.is_late and self._has_refused_fresh(request.service.name, now):
+        least = self._measure_idle_latency(request, work)
+        waited, left = now - request.since, request.deadline - now
+        verdict = decide_limited_turn(
+            turn.wait, least, waited, request.elapsed, request.latency_objective, left
+        )
+        if request.is_overdue and self._has_refused_fresh(request.service.name, now):
             verdict = Verdict.REFUSE  # fresh ones take all there is
         if verdict is Verdict.HOLD:
             request.denials = 0
             return None
-        if not request.is_late:
+        if not request.is_overdue:
             self._fresh_refused_at[request.service.name] = now
         return Refused(f"rate limits leave room in {turn.wait:.2f} s", 0, turn)
 
@@ -308,75 +314,77 @@
         at = self._fresh_refused_at.get(service, -inf)
         return now - at < FRESH_REFUSED_SECONDS
 
-    def _look(
+    def _get_snapshot(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
     ) -> Snapshot:
         """Return what is known of a service's endpoints now, or was a moment ago.
 
         :param limited: whether those with a rate limit count as well.
         """
-        revision = (self._endpoints.revision, self.required_version(service, now))
+        revision = (self._endpoints.revision, self.find_required_version(service, now))
         key = (service.name, limited)
         known = self._snapshots.get(key)
         if known is not None and not tried and known.is_fresh(now, revision):
             return known
-        able = self._list_able(service, tried, now, limited=limited)
-        work = self._work.get(service.name, WORK_SECONDS)
-        loads = self._measure(able, service, now)
+        eligible = self._list_eligible(service, tried, now, limited=limited)
+        work = self._work.get(service.name, DEFAULT_WORK_SECONDS)
+        loads = self._measure_loads(eligible, service, now)
         opening = None
         if all(each.limited for each in loads):
             opening = self._find_opening(service, tried, now, limited=limited)
-        snapshot = Snapshot(now, revision, able, loads, service.engine, work, opening)
+        snapshot = Snapshot(now, revision, eligible, loads, service.engine, work, opening)
         if not tried:
             self._snapshots[key] = snapshot
         return snapshot
 
-    def _weigh(
+    def _choose_endpoint(
         self, request: PlacementRequest, snapshot: Snapshot, now: float
     ) -> tuple[Choice | None, Verdict]:
         """Choose an endpoint, and decide whether the request is sent there now."""
         engine = request.service.engine
         work = snapshot.work
-        aim_share = self._aim_shares.get(request.service.name, AIM_SHARE_MOST)
-        elapsed = now - request.since + request.spent
+        objective_share = self._objective_shares.get(request.service.name, AIM_SHARE_MOST)
+        total_elapsed = now - request.since + request.elapsed
         choice = choose_endpoint(
             snapshot.loads,
             engine,
             request.prompt_tokens,
             work,
             self._random,
-            request.aim * aim_share - elapsed,
+            request.latency_objective * objective_share - total_elapsed,
             snapshot.best,
         )
         needed, least = None, inf
         if choice is not None:
-            least = self._measure_least(request, work)
+            least = self._measure_idle_latency(request, work)
             urgent = any(each.order < request.order for each in self._waiting[request.service.name])
-            limit = request.aim * aim_share
+            limit = request.latency_objective * objective_share
             # A limiter says itself who goes; yielding to others as well would be a wait in vain.
-            granted = snapshot.is_limited(choice.key)
-            if not urgent and (granted or not self._must_yield(request, snapshot, limit, now)):
+            needs_grant = snapshot.is_limited(choice.key)
+            if not urgent and (
+                needs_grant or not self._should_defer(request, snapshot, limit, now)
+            ):
                 needed = count_seconds(choice.prediction, engine)
         verdict = decide_turn(
             needed,
-            elapsed,
-            request.aim,
+            total_elapsed,
+            request.latency_objective,
             request.deadline - now,
             limited=engine is not None and not request.begun,
-            spent=request.spent,
-            aim_share=aim_share,
+            spent=request.elapsed,
+            aim_share=objective_share,
             least=least,
         )
         return choice, verdict
 
     def _count_ahead(self, request: PlacementRequest) -> int:
         """Count the requests that wait here and go before one."""
-        line = self._waiting[request.service.name]
-        place = line.index(request)
-        earlier = sum(each.order <= request.order for each in line[:place])
-        return earlier + sum(each.order < request.order for each in line[place + 1 :])
+        queue = self._waiting[request.service.name]
+        place = queue.index(request)
+        earlier = sum(each.order <= request.order for each in queue[:place])
+        return earlier + sum(each.order < request.order for each in queue[place + 1 :])
 
-    def _must_yield(
+    def _should_defer(
         self, request: PlacementRequest, snapshot: Snapshot, limit: float, now: float
     ) -> bool:
         """Tell whether a request leaves what room there is to others that wait, here or elsewhere.
@@ -394,13 +402,13 @@
         if now < request.not_before:
             return True
         queue = self._count_queue(request.service.name)
-        queue += self._endpoints.others.queue_of(request.service.name)
+        queue += self._endpoints.peer_loads.queue_of(request.service.name)
         if queue.fresh + queue.late <= 1:
             return False
-        share = LATE_SHARE if request.is_late else 1.0
-        room = snapshot.count_room(engine, limit * share)
+        share = LATE_SHARE if request.is_overdue else 1.0
+        capacity = snapshot.count_room(engine, limit * share)
         if self._random.random() < share_room(
-            room, queue.fresh, queue.late, late_ask=request.is_late
+            capacity, queue.fresh, queue.late, late_ask=request.is_overdue
         ):
             return False
         request.not_before = now + self._update_interval()
@@ -408,7 +416,7 @@
 
     def _count_queue(self, service: ServiceName) -> QueueLength:
         waiting = self._waiting.get(service, ())
-        late = sum(each.is_late for each in waiting)
+        late = sum(each.is_overdue for each in waiting)
         return QueueLength(len(waiting) - late, late)
 
     def list_queues(self) -> dict[ServiceName, QueueLength]:
@@ -419,7 +427,7 @@
             if waiting
         }
 
-    def _measure_least(self, request: PlacementRequest, work: float) -> float:
+    def _measure_idle_latency(self, request: PlacementRequest, work: float) -> float:
         """Return the seconds that count against the aim at an idle endpoint."""
         return count_seconds(self._predict_idle(request, work), request.service.engine)
 
@@ -427,27 +435,30 @@
         idle = EndpointLoad("idle", slots=1, running=0, waiting=0, sent_since=0, distance=0)
         return predict_answer(idle, request.service.engine, request.prompt_tokens, work)
 
-    def _measure(
-        self, able: Sequence[Able], service: BackendService, now: float
+    def _measure_loads(
+        self, eligible: Sequence[Eligible], service: BackendService, now: float
     ) -> list[EndpointLoad]:
-        self._endpoints.others.drop_silent(now)
-        unheard = count_unheard(self._count_nodes(), self._endpoints.others.count_heard())
-        loads = [self._endpoints.measure(each.state, now, all_heard=not unheard) for each in able]
-        if not unheard:
+        self._endpoints.peer_loads.drop_silent(now)
+        unreachable = count_unheard(self._count_nodes(), self._endpoints.peer_loads.count_heard())
+        loads = [
+            self._endpoints.measure_load(each.state, now, all_reachable=not unreachable)
+            for each in eligible
+        ]
+        if not unreachable:
             return loads
         recent = sum(each.recent for each in loads)
-        unseen = estimate_unseen(recent, 1 + unheard, len(loads), service.engine)
+        unseen = estimate_unseen(recent, 1 + unreachable, len(loads), service.engine)
         return [replace(each, unseen=unseen) for each in loads]
 
-    def _list_able(
+    def _list_eligible(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
-    ) -> list[Able]:
+    ) -> list[Eligible]:
         usable = self._list_usable(service, tried, now)
-        states = [each for each in usable if each.denial.ask_after <= now]
+        states = [each for each in usable if each.denial.retry_at <= now]
         if not limited:
-            states = [each for each in states if self._endpoints.find_limit(each) is None]
-        required = self.required_version(service, now)
-        return list_able(service, states, required, now, self._random)
+            states = [each for each in states if self._endpoints.find_rate_limit(each) is None]
+        required = self.find_required_version(service, now)
+        return list_eligible(service, states, required, now, self._random)
 
     def _find_opening(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
@@ -459,16 +470,18 @@
         if not len(self._endpoints.limits):
             return None
         states = self._list_usable(service, tried, now)
-        able = list_able(service, states, self.required_version(service, now), now, self._random)
-        rates = [self._endpoints.find_limit(each.state) for each in able]
-        if not able or any(each is None for each in rates):
+        eligible = list_eligible(
+            service, states, self.find_required_version(service, now), now, self._random
+        )
+        rates = [self._endpoints.find_rate_limit(each.state) for each in eligible]
+        if not eligible or any(each is None for each in rates):
             return None
-        pauses = [each.state.denial for each in able if each.state.denial.ask_after > now]
-        may_ask = not pauses or (limited and len(pauses) < len(able))
+        pauses = [each.state.denial for each in eligible if each.state.denial.retry_at > now]
+        can_request = not pauses or (limited and len(pauses) < len(eligible))
         return Opening(
-            at=now if may_ask else min(each.turn_at for each in pauses),
+            at=now if can_request else min(each.turn_at for each in pauses),
             rate=sum(max(LEAST_RATE, each) for each in rates if each is not None),
-            least_urgent=max(able, key=lambda each: each.state.denial.urgency),
+            least_urgent=max(eligible, key=lambda each: each.state.denial.urgency),
         )
 
     def _list_usable(
@@ -489,9 +502,11 @@
     since each change wakes all that wait.
     """
     if not request.begun:
-        await asyncio.sleep(_LEAST_WAIT)
+        await asyncio.sleep(_MIN_WAIT_SECONDS)
     try:
-        async with asyncio.timeout(max(_LEAST_WAIT, request.aim * HOLD_SHARE / 4)):
+        async with asyncio.timeout(
+            max(_MIN_WAIT_SECONDS, request.latency_objective * HOLD_SHARE / 4)
+        ):
             await changed.wait()
     except TimeoutError:
         pass
--- a/packages/wrenloft-routing/src/wrenloft_routing/_grants.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_grants.py
@@ -59,7 +59,7 @@
             if not grant.granted:
                 now = read_clock()
                 denial = Denial(urgency, now + grant.ask_again, now + grant.turn)
-                self._endpoints.defer(state, denial)
+                self._endpoints.record_denial(state, denial)
                 return False
         return True
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
@@ -11,7 +11,7 @@
 
 from wrenloft_core import AgentId, ServiceName, note, read_clock
 from wrenloft_policy import measure_frame_interval
-from wrenloft_routing._crash_ledger import CrashLedger, CrashNews, CrashSource
+from wrenloft_routing._crash_ledger import CrashLedger, CrashSource, CrashUpdates
 from wrenloft_routing._endpoints import Endpoints
 from wrenloft_routing._followers import FollowedNode
 from wrenloft_routing._frames import (
@@ -58,7 +58,7 @@
 
     ready: bool
     load: LoadUpdate
-    crashes: CrashNews = field(default_factory=dict)
+    crashes: CrashUpdates = field(default_factory=dict)
     limits: LimitNews = field(default_factory=dict)
 
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_request_log.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_request_log.py
@@ -15,13 +15,13 @@
 """For which a log line tells how many requests this node has sent to the endpoint."""
 
 REQUESTS = Counter("wrenloft_routing_requests", "Requests by outcome", ["kind", "outcome"])
-SECONDS = Histogram(
+REQUEST_SECONDS = Histogram(
     "wrenloft_routing_request_seconds",
     "Seconds from arrival to the final answer",
     ["kind"],
     buckets=(0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4),
 )
-FIRST_SECONDS = Histogram(
+FIRST_EVENT_SECONDS = Histogram(
     "wrenloft_routing_first_event_seconds",
     "Seconds from arrival to a stream's first event",
     buckets=(0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.8, 1.6, 3.2),
@@ -65,11 +65,11 @@
         rate_limit=rate_limit,
         sent_before=state.count_sent(now - RATE_WINDOW_SECONDS) - 1,
         chain=[each.state.endpoint.agent_id for each in placed.chain],
-        resumed_after=progress.pump.last,
+        resumed_after=progress.stream.last_event,
     )
 
 
-def conclude(
+def record_outcome(
     request: CallerRequest, kind: str, outcome: Outcome, progress: RequestProgress | None
 ) -> None:
     """Count and log how a request ended.
@@ -79,7 +79,7 @@
     seconds = read_clock() - request.arrived
     name = type(outcome).__name__
     REQUESTS.labels(kind, name).inc()
-    SECONDS.labels(kind).observe(seconds)
+    REQUEST_SECONDS.labels(kind).observe(seconds)
     note(
         _LOG,
         "request ended",
@@ -92,15 +92,15 @@
         status=getattr(outcome, "status", None),
         retry_after=getattr(outcome, "retry_after", None),
         attempts=progress.attempts if progress else 0,
-        spent_ms=round(progress.spent * 1000) if progress else 0,
+        spent_ms=round(progress.elapsed * 1000) if progress else 0,
         predicted_ms=round(progress.prediction.total * 1000) if progress else 0,
-        first_ms=_measure_first(progress),
+        first_ms=_measure_first_event(progress),
         ms=round(seconds * 1000),
     )
 
 
-def _measure_first(progress: RequestProgress | None) -> int | None:
+def _measure_first_event(progress: RequestProgress | None) -> int | None:
     """Return the milliseconds from arrival to a stream's first event, if it had one."""
-    if progress is None or not progress.pump.begun:
+    if progress is None or not progress.stream.begun:
         return None
-    return round((progress.pump.begun_at - progress.request.arrived) * 1000)
+    return round((progress.stream.begun_at - progress.request.arrived) * 1000)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
@@ -7,7 +7,7 @@
 from wrenloft_routing._exchange import CallerRequest
 from wrenloft_routing._gate import PlacementRequest
 from wrenloft_routing._loads import NO_LOAD, InProgress
-from wrenloft_routing._streams import Pump
+from wrenloft_routing._streams import StreamProgress
 from wrenloft_routing._table import BackendService, Rule
 
 
@@ -26,15 +26,15 @@
     attempts: int = 0
     not_sent: int = 0
     may_have_run: bool = False
-    on_trial: bool = False
+    is_probe: bool = False
     limit_known: bool = False
     sent_at: float = 0.0
-    spent: float = 0.0
+    elapsed: float = 0.0
     prediction: Prediction = Prediction(0.0, 0.0)
     begin_by: float = float("inf")
     peer: str = ""
-    pump: Pump = field(default_factory=Pump)
-    share: InProgress = NO_LOAD
+    stream: StreamProgress = field(default_factory=StreamProgress)
+    load: InProgress = NO_LOAD
 
     @property
     def left(self) -> float:
@@ -52,8 +52,8 @@
         rank=progress.rank,
         prompt_tokens=progress.request.prompt_tokens,
         since=since,
-        spent=progress.spent,
-        aim=progress.rule.aim,
+        elapsed=progress.elapsed,
+        latency_objective=progress.rule.aim,
         deadline=progress.deadline,
-        begun=progress.pump.begun,
+        begun=progress.stream.begun,
     )
--- a/packages/wrenloft-routing/src/wrenloft_routing/_snapshot.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_snapshot.py
@@ -6,7 +6,7 @@
 
 from wrenloft_core import AgentId
 from wrenloft_policy import EndpointLoad, EngineProfile, count_room, rank_endpoint
-from wrenloft_routing._chains import Able
+from wrenloft_routing._chains import Eligible
 
 SNAPSHOT_SECONDS = 0.02
 """How long a snapshot is used. While requests wait, each looks again whenever something changes. A
@@ -28,7 +28,7 @@
 
     at: float
     rate: float
-    least_urgent: Able
+    least_urgent: Eligible
 
     @property
     def urgency(self) -> int:
@@ -48,7 +48,7 @@
 
     taken_at: float
     revision: tuple[int, int]
-    able: Sequence[Able]
+    able: Sequence[Eligible]
     loads: list[EndpointLoad]
     engine: EngineProfile | None
     work: float
@@ -75,7 +75,7 @@
         """The endpoints that were best when it was taken, with their loads now."""
         return [self.loads[at] for at in self._best]
 
-    def find(self, key: str) -> Able:
+    def find(self, key: str) -> Eligible:
         """Return an endpoint by its id."""
         return self.able[self._index[AgentId(key)]]
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_streams.py
@@ -9,7 +9,7 @@
 from wrenloft_routing._events import Event, EventSplitter
 from wrenloft_routing._exchange import AnswerSink, Reply, ReplyBrokenError
 
-STALL_GAPS = 2.5
+STALL_OBJECTIVES = 2.5
 """Aimed pauses after which a stream counts as stalled if it may go on elsewhere. Within twice the
 pause a busy engine still writes; callers leave after eight times the pause at the earliest."""
 
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Pump:
+class StreamProgress:
     """How far a stream has come, over all endpoints that wrote it.
 
     :param last: id of the last event that was passed on.
@@ -32,38 +32,38 @@
 
     begun: bool = False
     begun_at: float = 0.0
-    last: int | None = None
+    last_event: int | None = None
 
 
-async def pump_stream(
+async def forward_stream(
     reply: Reply,
     sink: AnswerSink,
-    pump: Pump,
+    stream: StreamProgress,
     *,
-    first_limit: float,
-    gap_aim: float,
+    first_event_timeout: float,
+    gap_objective: float,
     deadline: float,
     resumable: bool,
-    on_begin: Callable[[], None],
+    on_first_event: Callable[[], None],
 ) -> StreamEnd:
     """Pass events on until the endpoint's stream ends.
 
     The caller's head is sent with the first whole event: until then the request can still be
     tried elsewhere, or refused with its own status.
 
-    :param first_limit: seconds until the first event.
+    :param first_event_timeout: seconds until the first event.
     :param resumable: whether a stall after it may end this endpoint's stream; if not, its silence
         is borne until the deadline, since nobody else could go on.
-    :param on_begin: called when this endpoint's first event has come.
+    :param on_first_event: called when this endpoint's first event has come.
     """
     splitter = EventSplitter()
-    limit = first_limit
+    timeout = first_event_timeout
     begun = False
     while True:
         left = deadline - read_clock()
         if left <= 0:
             return StreamEnd.DEADLINE
-        wait = min(left, limit) if resumable or not pump.begun else left
+        wait = min(left, timeout) if resumable or not stream.begun else left
         try:
             async with asyncio.timeout(wait):
                 data = await reply.read_some()
@@ -72,20 +72,24 @@
         except ReplyBrokenError:
             return StreamEnd.BROKEN
         if not data:
-            return StreamEnd.BROKEN if splitter.torn or not pump.begun else StreamEnd.COMPLETE
+            return (
+                StreamEnd.BROKEN
+                if splitter.has_partial_event or not stream.begun
+                else StreamEnd.COMPLETE
+            )
         events = splitter.feed(data)
         if not events:
             continue
-        if not _follow_on(events, pump.last):
+        if not _is_contiguous(events, stream.last_event):
             return StreamEnd.BROKEN
         if not begun:
             begun = True
-            on_begin()
-        await _pass_on(events, reply, sink, pump)
-        limit = gap_aim * STALL_GAPS
+            on_first_event()
+        await _forward_events(events, reply, sink, stream)
+        timeout = gap_objective * STALL_OBJECTIVES
 
 
-def _follow_on(events: list[Event], last: int | None) -> bool:
+def _is_contiguous(events: list[Event], last: int | None) -> bool:
     """Check that no event is missing, doubled or from another run."""
     for event in events:
         if event.number is not None:
@@ -95,12 +99,14 @@
     return True
 
 
-async def _pass_on(events: list[Event], reply: Reply, sink: AnswerSink, pump: Pump) -> None:
-    if not pump.begun:
+async def _forward_events(
+    events: list[Event], reply: Reply, sink: AnswerSink, stream: StreamProgress
+) -> None:
+    if not stream.begun:
         await sink.begin(reply.status, reply.headers)
-        pump.begun = True
-        pump.begun_at = read_clock()
+        stream.begun = True
+        stream.begun_at = read_clock()
     for event in events:
         if event.number is not None:
-            pump.last = event.number
+            stream.last_event = event.number
     await sink.write(b"".join(event.data for event in events))
--- a/packages/wrenloft-routing/src/wrenloft_routing/_table.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_table.py
@@ -35,7 +35,7 @@
     :param max_attempts: endpoints that one request may be sent to.
     :param public: whether callers need no key.
     :param resumable: whether a stream may go on at another endpoint.
-    :param gap_aim: longest pause between two events of a stream, in seconds.
+    :param gap_objective: longest pause between two events of a stream, in seconds.
     """
 
     name: str
@@ -49,7 +49,7 @@
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
-    gap_aim: float = 0.4
+    gap_objective: float = 0.4
 
     @property
     def idempotent(self) -> bool:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
@@ -70,7 +70,7 @@
         self._routes: FrameRoutes | None = None
         self._gather_until = float("-inf")
         self.role = ReaderRole.STARTING
-        endpoints.others = self._followed
+        endpoints.peer_loads = self._followed
 
     def attach(self, routes: FrameRoutes, readings: Iterable[SharedReading]) -> None:
         """Take the routes by which others follow this node, and the readings that frames bring."""
@@ -131,7 +131,7 @@
         if role is not self.role:
             note(_LOG, "part in zone changed", role=role.value, nodes=len(self._members))
         self.role = role
-        self._endpoints.others = loads
+        self._endpoints.peer_loads = loads
 
     async def _follow_relay(self, relay: Member) -> None:
         """Follow a relay until it is lost or a better one can be tried."""
--- a/packages/wrenloft-routing/tests/test_beliefs.py
+++ b/packages/wrenloft-routing/tests/test_beliefs.py
@@ -20,19 +20,19 @@
 )
 from wrenloft_policy import EVERY_LAYER
 from wrenloft_routing import (
-    CurrencyProof,
     Endpoint,
     Endpoints,
     EngineReport,
     EventSplitter,
+    FreshnessProof,
     Item,
     Member,
     Members,
     NodeState,
     ReaderRole,
     Reading,
-    SharedBudget,
     SharedReading,
+    SharedRetryBudget,
     Taken,
 )
 
@@ -132,7 +132,7 @@
         endpoints.update([_endpoint("a", versions={"m": 3}, born=1000)], trusted=True)
         (state,) = endpoints.of_service(SERVICE)
         endpoints.record_report("a:1", EngineReport(0, 0, 0, False, 1.0, None, 2000), 100.0)
-        assert state.weights_of("m", 200.0).span is None
+        assert state.find_weights("m", 200.0).span is None
 
     def test_sends_since_a_report_count(self) -> None:
         """Between two reports an idle engine does not look idle to the node that fills it."""
@@ -142,8 +142,8 @@
         endpoints.record_report("a:1", EngineReport(2, 1, 1, False, 1.0), now)
         state = endpoints.of_service(SERVICE)[0]
         for seconds in (0.05, 0.1, 0.15):
-            state.note_sent(now + seconds)
-        load = endpoints.measure(state, now + 0.2)
+            state.record_sent(now + seconds)
+        load = endpoints.measure_load(state, now + 0.2)
         assert (load.running, load.waiting, load.sent_since) == (2, 1, 3)
 
     def test_a_report_ends_the_count_of_what_was_sent_before(self) -> None:
@@ -154,11 +154,11 @@
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a")], trusted=True)
         state = endpoints.of_service(SERVICE)[0]
-        state.note_sent(100.0)
-        state.note_sent(100.2)
+        state.record_sent(100.0)
+        state.record_sent(100.2)
         endpoints.record_report("a:1", EngineReport(1, 0, 1, False, 1.0), 100.3)
-        state.note_sent(100.35)
-        load = endpoints.measure(state, 100.36)
+        state.record_sent(100.35)
+        load = endpoints.measure_load(state, 100.36)
         assert (load.sent_since, load.recent) == (1, 2)
 
     def test_old_report_of_loading_does_not_keep_requests_away(self) -> None:
@@ -170,8 +170,8 @@
         endpoints.update([_endpoint("a", versions={"m": 1})], trusted=True)
         state = endpoints.of_service(SERVICE)[0]
         endpoints.record_report("a:1", EngineReport(0, 0, 1, True, 1.0, None), 100.0)
-        assert state.weights_of("m", 100.1).span is None
-        assert state.weights_of("m", 105.0).span == EVERY_LAYER
+        assert state.find_weights("m", 100.1).span is None
+        assert state.find_weights("m", 105.0).span == EVERY_LAYER
 
     def test_engine_that_gave_up_a_version_is_not_used_because_of_the_list(self) -> None:
         """An engine drops one version for the next; the list still names the old one.
@@ -182,7 +182,7 @@
         endpoints.update([_endpoint("a", versions={"m": 1})], trusted=True)
         state = endpoints.of_service(SERVICE)[0]
         endpoints.record_report("a:1", EngineReport(0, 0, 0, True, 1.0, None), 100.0)
-        assert state.weights_of("m", 100.1).span is None
+        assert state.find_weights("m", 100.1).span is None
 
     def test_failures_keep_requests_away_longer_each_time(self) -> None:
         """A flapping endpoint is tried ever less often, up to a bound, and forgiven at once."""
@@ -200,7 +200,7 @@
 
 
 class TestSharedBudget:
-    """Tests for ``SharedBudget``."""
+    """Tests for ``SharedRetryBudget``."""
 
     @pytest.mark.parametrize("nodes", [1, 3, 9])
     def test_all_nodes_together_stay_within_the_allowance(self, nodes: int) -> None:
@@ -208,13 +208,13 @@
 
         All nodes spend whatever they may, with ten requests a second each, for a minute.
         """
-        budgets = [SharedBudget(0.2, 106.0, 10.0, nodes) for _ in range(nodes)]
+        budgets = [SharedRetryBudget(0.2, 106.0, 10.0, nodes) for _ in range(nodes)]
         spent: list[float] = []
         for tenth in range(600):
             now = tenth / 10
             for budget in budgets:
-                budget.earn(SERVICE, now)
-                while budget.spend(SERVICE, now):
+                budget.deposit(SERVICE, now)
+                while budget.withdraw(SERVICE, now):
                     spent.append(now)
         for start in range(50):
             inside = sum(start <= at < start + 10 for at in spent)
@@ -222,24 +222,24 @@
 
 
 class TestCurrencyProof:
-    """Tests for ``CurrencyProof``."""
+    """Tests for ``FreshnessProof``."""
 
     def test_keys_need_a_young_proof(self) -> None:
         """Without one, before the first and after the bound, no key may be used."""
-        proof = CurrencyProof(5.0)
+        proof = FreshnessProof(5.0)
         assert not proof.allows_keys()
         proof.record(read_clock())
         assert proof.allows_keys()
 
     def test_proof_counts_from_the_beginning_of_its_read(self) -> None:
         """An answer that took four seconds proves what was true four seconds ago."""
-        proof = CurrencyProof(5.0)
+        proof = FreshnessProof(5.0)
         proof.record(read_clock() - 4.5)
         assert not proof.allows_keys()
 
     def test_late_answer_does_not_take_a_younger_proof_away(self) -> None:
         """Answers overtake each other; the youngest counts."""
-        proof = CurrencyProof(5.0)
+        proof = FreshnessProof(5.0)
         proof.record(read_clock())
         proof.record(read_clock() - 60.0)
         assert proof.allows_keys()
@@ -256,7 +256,7 @@
             events = splitter.feed(data[:cut]) + splitter.feed(data[cut:])
             assert [each.number for each in events] == [1, 2]
             assert b"".join(each.data for each in events) == data
-            assert not splitter.torn
+            assert not splitter.has_partial_event
 
 
 class TestMembers:
--- a/packages/wrenloft-routing/tests/test_chains.py
+++ b/packages/wrenloft-routing/tests/test_chains.py
@@ -5,7 +5,7 @@
 
 from wrenloft_core import AgentId, ModelName, PlaceName, RegionName, ServiceName
 from wrenloft_policy import EngineProfile, LayerSpan
-from wrenloft_routing import Able, BackendService, Endpoint, EndpointState, list_able
+from wrenloft_routing import BackendService, Eligible, Endpoint, EndpointState, list_eligible
 
 PROFILE = EngineProfile(16, 5, 0.009, 0.00004, 19100.0, 2048, 977, 94)
 SERVICE = BackendService(ServiceName("s"), 10, PROFILE, ModelName("m"), 96, 24576, layers=16)
@@ -28,45 +28,45 @@
     return EndpointState(endpoint, **changes)
 
 
-def _list(*states: EndpointState, required: int = 0) -> list[Able]:
-    return list_able(SERVICE, states, required, 100.0, Random(1))
+def _list(*states: EndpointState, required: int = 0) -> list[Eligible]:
+    return list_eligible(SERVICE, states, required, 100.0, Random(1))
 
 
-def _name(able: Able) -> list[str]:
-    return [each.state.endpoint.agent_id for each in able.chain]
+def _name(eligible: Eligible) -> list[str]:
+    return [each.state.endpoint.agent_id for each in eligible.chain]
 
 
 class TestListAble:
-    """Tests for ``list_able``."""
+    """Tests for ``list_eligible``."""
 
-    def test_whole_engine_serves_alone(self) -> None:
+    def test_engine_with_all_layers_serves_alone(self) -> None:
         """No chain where none is needed."""
-        (able,) = _list(_engine("a", WHOLE))
-        assert able.chain == ()
+        (eligible,) = _list(_engine("a", WHOLE))
+        assert eligible.chain == ()
 
-    def test_two_parts_serve_together(self) -> None:
+    def test_complementary_engines_form_a_chain(self) -> None:
         """After a loss of power each engine holds half of the layers at first."""
-        (able,) = _list(_engine("a", LOWER), _engine("b", UPPER))
-        assert _name(able) == ["a", "b"]
+        (eligible,) = _list(_engine("a", LOWER), _engine("b", UPPER))
+        assert _name(eligible) == ["a", "b"]
 
-    def test_parts_of_two_versions_are_never_joined(self) -> None:
+    def test_versions_are_never_mixed_in_a_chain(self) -> None:
         """One engine has gone on to the next version, the other has not.
 
         A chain of both would make tokens with mixed weights; rather nobody takes the request.
         """
         assert _list(_engine("a", LOWER, 1), _engine("b", UPPER, 2)) == []
 
-    def test_part_alone_takes_nothing(self) -> None:
+    def test_incomplete_layers_serve_nothing(self) -> None:
         """Half a model cannot answer."""
         assert _list(_engine("a", LOWER), _engine("b", LOWER), _engine("c", None)) == []
 
-    def test_older_version_is_kept_out_once_the_next_is_required(self) -> None:
+    def test_required_version_excludes_older_engines(self) -> None:
         """Whole or in chains, only engines of the required version are left."""
         states = [_engine("a", WHOLE, 1), _engine("b", LOWER, 2), _engine("c", UPPER, 2)]
-        (able,) = _list(*states, required=2)
-        assert _name(able) == ["b", "c"]
+        (eligible,) = _list(*states, required=2)
+        assert _name(eligible) == ["b", "c"]
 
-    def test_chain_across_regions_only_if_nothing_else_can(self) -> None:
+    def test_cross_region_chain_is_the_last_resort(self) -> None:
         """Each token would cross between regions at every step."""
         pair = [_engine("a", LOWER), _engine("b", UPPER, region="far")]
         assert [_name(each) for each in _list(*pair)] == [["a", "b"]]
@@ -76,4 +76,4 @@
     def test_plain_service_needs_no_weights(self) -> None:
         """Every endpoint of a service without a model can take a request."""
         plain = BackendService(ServiceName("s"), 10)
-        assert len(list_able(plain, [_engine("a", None)], 0, 100.0, Random(1))) == 1
+        assert len(list_eligible(plain, [_engine("a", None)], 0, 100.0, Random(1))) == 1
--- a/packages/wrenloft-routing/tests/test_crash_fleet.py
+++ b/packages/wrenloft-routing/tests/test_crash_fleet.py
@@ -16,19 +16,19 @@
 from wrenloft_routing import CrashLedger, CrashSource
 
 CONTENT = ContentId("c")
-STEP = 0.025
+STEP_SECONDS = 0.025
 RUN_SECONDS = 0.2
 """From a send to the crash."""
 
-TRIES = 2
+ATTEMPTS = 2
 REPEAT_SECONDS = 0.1
-AT_ONCE = 3
+NODES_PER_REPEAT = 3
 """Nodes that get a repeat in the same instant."""
 
-RELAY_GAP = 1.1
+RELAY_FAILOVER_SECONDS = 1.1
 """From a relay's death until the next one tells: silence, connection and gathering."""
 
-MOST_AFTERWARDS = 3
+MAX_SENDS_AFTER_BOUND = 3
 """Sends allowed later than the bound after the third crash, by the whole fleet."""
 
 
@@ -48,7 +48,7 @@
     zones: list[Zone]
     random: Random
     ledgers: list[CrashLedger] = field(default_factory=list)
-    told: dict[tuple[int, int], int] = field(default_factory=dict)
+    sent_revisions: dict[tuple[int, int], int] = field(default_factory=dict)
     next_at: dict[tuple[int, int], float] = field(default_factory=dict)
     running: list[tuple[float, int, int]] = field(default_factory=list)
     crashes: list[float] = field(default_factory=list)
@@ -56,60 +56,66 @@
     frozen: set[int] = field(default_factory=set)
     now: float = 0.0
 
-    def tell(self, source: int, target: int, interval: float) -> None:
+    def send_updates(self, source: int, target: int, interval: float) -> None:
         """Tell what is new over one connection, if its next message is due."""
         pair = (source, target)
         if self.now < self.next_at.get(pair, 0.0) or {source, target} & self.frozen:
             return
         self.next_at[pair] = self.now + interval
         ledger = self.ledgers[source]
-        news = ledger.list_changes(self.told.get(pair, 0))
-        self.ledgers[target].merge(news, CrashSource.PEER)
-        self.told[pair] = ledger.revision
+        updates = ledger.list_changes(self.sent_revisions.get(pair, 0))
+        self.ledgers[target].merge(updates, CrashSource.PEER)
+        self.sent_revisions[pair] = ledger.revision
 
-    def pass_on(self) -> None:
+    def exchange_updates(self) -> None:
         """Let all nodes and relays tell one another."""
         live = [zone for zone in self.zones if self.now >= zone.silent_until]
         for zone in live:
             interval = measure_frame_interval(len(zone.nodes))
             for node in zone.nodes:
                 if node != zone.relay:
-                    self.tell(node, zone.relay, interval)
-                    self.tell(zone.relay, node, interval)
+                    self.send_updates(node, zone.relay, interval)
+                    self.send_updates(zone.relay, node, interval)
             for other in live:
                 if other is not zone:
-                    self.tell(zone.relay, other.relay, measure_frame_interval(len(self.zones) - 1))
+                    self.send_updates(
+                        zone.relay, other.relay, measure_frame_interval(len(self.zones) - 1)
+                    )
 
     def restart(self, node: int) -> None:
         """Forget all that a node knew."""
         self.ledgers[node] = CrashLedger()
-        self.told = {pair: at for pair, at in self.told.items() if node not in pair}
+        self.sent_revisions = {
+            pair: at for pair, at in self.sent_revisions.items() if node not in pair
+        }
 
     def kill_relay(self, zone: Zone) -> None:
         """Let a relay die and start anew; the next node of its zone takes its place."""
         self.restart(zone.relay)
         zone.relay = zone.nodes[(zone.nodes.index(zone.relay) + 1) % len(zone.nodes)]
-        zone.silent_until = self.now + RELAY_GAP
-        self.told = {pair: at for pair, at in self.told.items() if zone.relay not in pair}
+        zone.silent_until = self.now + RELAY_FAILOVER_SECONDS
+        self.sent_revisions = {
+            pair: at for pair, at in self.sent_revisions.items() if zone.relay not in pair
+        }
 
-    def send(self, node: int, tries: int) -> None:
+    def send(self, node: int, attempts: int) -> None:
         """Send the request from a node, unless it is held back there."""
-        if node in self.frozen or self.ledgers[node].find_hold(CONTENT) is not None:
+        if node in self.frozen or self.ledgers[node].find_quarantine(CONTENT) is not None:
             return
         self.sends.append(self.now)
-        self.running.append((self.now + RUN_SECONDS, node, tries))
+        self.running.append((self.now + RUN_SECONDS, node, attempts))
 
     def crash(self) -> None:
         """Let endpoints crash, and their nodes try elsewhere."""
         due = [each for each in self.running if each[0] <= self.now]
         self.running = [each for each in self.running if each[0] > self.now]
-        for _, node, tries in due:
+        for _, node, attempts in due:
             self.crashes.append(self.now)
             incarnation = IncarnationId(f"e{len(self.crashes)}")
             crash = Crash(read_clock())
             self.ledgers[node].record(CONTENT, incarnation, crash, CrashSource.OWN)
-            if tries > 1:
-                self.send(node, tries - 1)
+            if attempts > 1:
+                self.send(node, attempts - 1)
 
     def run(self, seconds: float, disturb) -> None:
         """Repeat the request; call ``disturb`` once the third endpoint has crashed."""
@@ -123,10 +129,10 @@
                 disturb(self)
             if self.now >= repeat_at:
                 repeat_at = self.now + REPEAT_SECONDS
-                for node in self.random.sample(range(len(self.ledgers)), AT_ONCE):
-                    self.send(node, TRIES)
-            self.pass_on()
-            self.now += STEP
+                for node in self.random.sample(range(len(self.ledgers)), NODES_PER_REPEAT):
+                    self.send(node, ATTEMPTS)
+            self.exchange_updates()
+            self.now += STEP_SECONDS
 
 
 def _build(sizes: list[int], seed: int) -> Model:
@@ -139,7 +145,7 @@
     return Model(zones, Random(seed), [CrashLedger() for _ in range(first)])
 
 
-def _nothing(model: Model) -> None:
+def _no_fault(model: Model) -> None:
     return
 
 
@@ -157,19 +163,19 @@
 
 
 @pytest.mark.parametrize("size", FLEETS)
-@pytest.mark.parametrize("disturb", [_nothing, _kill_one_relay, _kill_all_relays])
+@pytest.mark.parametrize("disturb", [_no_fault, _kill_one_relay, _kill_all_relays])
 @pytest.mark.parametrize("seed", range(3))
-def test_sends_end_within_the_bound(size: int, disturb, seed: int) -> None:
+def test_requests_stop_within_the_bound(size: int, disturb, seed: int) -> None:
     """Thirty repeats a second at random nodes, three in each instant, two tries each."""
     sizes, bound = FLEETS[size]
     model = _build(sizes, seed)
     model.run(bound + 4.0, disturb)
     third = model.crashes[2]
-    assert sum(at > third + bound for at in model.sends) <= MOST_AFTERWARDS
+    assert sum(at > third + bound for at in model.sends) <= MAX_SENDS_AFTER_BOUND
 
 
 @pytest.mark.parametrize("size", FLEETS)
-def test_node_that_starts_or_wakes_learns_within_the_bound(size: int) -> None:
+def test_restarted_or_resumed_node_is_updated_within_the_bound(size: int) -> None:
     """Nodes are frozen or start anew while the others learn; each may send only before word."""
     sizes, bound = FLEETS[size]
     model = _build(sizes, seed=1)
@@ -182,6 +188,6 @@
     model.frozen = set()
     model.restart(5)
     woken_at = model.now
-    model.run(bound + 3.0, _nothing)
-    assert sum(at > woken_at + bound for at in model.sends) <= MOST_AFTERWARDS
-    assert all(each.find_hold(CONTENT) is not None for each in model.ledgers)
+    model.run(bound + 3.0, _no_fault)
+    assert sum(at > woken_at + bound for at in model.sends) <= MAX_SENDS_AFTER_BOUND
+    assert all(each.find_quarantine(CONTENT) is not None for each in model.ledgers)
--- a/packages/wrenloft-routing/tests/test_crash_ledger.py
+++ b/packages/wrenloft-routing/tests/test_crash_ledger.py
@@ -9,11 +9,15 @@
 from wrenloft_core import ContentId, IncarnationId, read_clock
 from wrenloft_policy import Crash, Standing
 from wrenloft_routing import CrashLedger, CrashSource
-from wrenloft_routing._crash_ledger import HELD_WRONGLY, MOST_CONTENTS, MOST_CRASHES
+from wrenloft_routing._crash_ledger import (
+    MAX_CONTENTS,
+    MAX_CRASHES_PER_CONTENT,
+    WRONGLY_REFUSED_REQUESTS,
+)
 
 CONTENT = ContentId("c")
 
-crash_words = st.lists(
+crash_reports = st.lists(
     st.tuples(
         st.sampled_from([ContentId("c"), ContentId("d")]),
         st.sampled_from([IncarnationId(each) for each in "vwxyz"]),
@@ -31,106 +35,110 @@
         ledger.record(content, IncarnationId(name), crash, CrashSource.OWN)
 
 
-def _tell(source: CrashLedger, target: CrashLedger, since: int = 0) -> int:
+def _send_updates(source: CrashLedger, target: CrashLedger, since: int = 0) -> int:
     target.merge(source.list_changes(since), CrashSource.PEER)
     return source.revision
 
 
-class TestHold:
+class TestQuarantine:
     """Tests of when a content is held back."""
 
-    def test_third_crash_seen_by_anybody_holds(self) -> None:
+    def test_third_crash_seen_by_any_node_quarantines(self) -> None:
         """Three nodes saw one crash each; whoever has heard of all three holds the request back."""
         ledgers = [CrashLedger() for _ in range(3)]
         for name, ledger in zip("abc", ledgers, strict=True):
             _record(ledger, name)
         for other in ledgers[1:]:
-            _tell(other, ledgers[0])
-        hold = ledgers[0].find_hold(CONTENT)
-        assert hold is not None
-        assert (hold.count, hold.source) == (3, CrashSource.PEER)
-        assert ledgers[1].find_hold(CONTENT) is None
+            _send_updates(other, ledgers[0])
+        quarantine = ledgers[0].find_quarantine(CONTENT)
+        assert quarantine is not None
+        assert (quarantine.count, quarantine.source) == (3, CrashSource.PEER)
+        assert ledgers[1].find_quarantine(CONTENT) is None
 
-    def test_one_fall_told_by_many_is_one_crash(self) -> None:
+    def test_failure_reported_by_many_nodes_is_one_crash(self) -> None:
         """Nine nodes had the same poll in progress at one engine when it fell."""
         ledger = CrashLedger()
         for _ in range(9):
             other = CrashLedger()
             _record(other, "a")
-            _tell(other, ledger)
-        assert ledger.find_hold(CONTENT) is None
+            _send_updates(other, ledger)
+        assert ledger.find_quarantine(CONTENT) is None
 
-    def test_old_crashes_hold_nothing_and_are_forgotten(self) -> None:
+    def test_expired_crashes_are_dropped(self) -> None:
         """A request that crashed three engines an hour ago may run again."""
         ledger = CrashLedger()
         _record(ledger, "abc", age=3600.0)
-        assert ledger.find_hold(CONTENT) is None
-        ledger.drop_old()
+        assert ledger.find_quarantine(CONTENT) is None
+        ledger.drop_expired()
         assert len(ledger) == 0
 
     @pytest.mark.parametrize(
         ("standing", "wrongly"), [(Standing.SUCCEEDED, 2.0), (Standing.LIFTED, 0.0)]
     )
-    def test_excuse_ends_the_hold_everywhere(self, standing: Standing, wrongly: float) -> None:
+    def test_dismissal_ends_the_quarantine_at_all_nodes(
+        self, standing: Standing, wrongly: float
+    ) -> None:
         """A whole answer, or an operator, at one node; requests held back wrongly are counted."""
         ledger, other = CrashLedger(), CrashLedger()
         _record(ledger, "abc")
-        told = _tell(ledger, other)
-        before = HELD_WRONGLY._value.get()
+        sent_revision = _send_updates(ledger, other)
+        before = WRONGLY_REFUSED_REQUESTS._value.get()
         for _ in range(2):
-            other.count_held_back(CONTENT)
-        ledger.excuse(CONTENT, standing)
-        _tell(ledger, other, told)
-        assert other.find_hold(CONTENT) is None
-        assert HELD_WRONGLY._value.get() - before == wrongly
+            other.count_refusal(CONTENT)
+        ledger.dismiss(CONTENT, standing)
+        _send_updates(ledger, other, sent_revision)
+        assert other.find_quarantine(CONTENT) is None
+        assert WRONGLY_REFUSED_REQUESTS._value.get() - before == wrongly
         _record(other, "a")
-        assert other.find_hold(CONTENT) is None
+        assert other.find_quarantine(CONTENT) is None
 
 
-class TestTelling:
+class TestUpdates:
     """Tests of how words join."""
 
-    @given(crash_words, st.randoms(use_true_random=False))
-    def test_order_and_repetition_change_nothing(self, words, random: Random) -> None:
+    @given(crash_reports, st.randoms(use_true_random=False))
+    def test_order_and_repetition_change_nothing(self, reports, random: Random) -> None:
         """Relays lag, die and tell again; in the end all nodes hold the same contents back."""
         ledgers = [CrashLedger() for _ in range(3)]
-        for content, incarnation, standing in words:
+        for content, incarnation, standing in reports:
             crash = Crash(read_clock(), standing)
             random.choice(ledgers).record(content, incarnation, crash, CrashSource.OWN)
         for _ in range(12):
-            _tell(random.choice(ledgers), random.choice(ledgers))
+            _send_updates(random.choice(ledgers), random.choice(ledgers))
         for _ in range(2):
             for source in ledgers:
                 for target in ledgers:
-                    _tell(source, target)
-        held = {tuple(each.content for each in ledger.list_holds()) for ledger in ledgers}
-        assert len(held) == 1
+                    _send_updates(source, target)
+        quarantined = {
+            tuple(each.content for each in ledger.list_quarantines()) for ledger in ledgers
+        }
+        assert len(quarantined) == 1
 
-    def test_only_news_is_told(self) -> None:
+    def test_only_changes_are_sent(self) -> None:
         """An echo of what a node told is no news to it, and makes no frame."""
         ledger, relay = CrashLedger(), CrashLedger()
         _record(ledger, "a")
-        told = _tell(ledger, relay)
-        assert not ledger.list_changes(told)
+        sent_revision = _send_updates(ledger, relay)
+        assert not ledger.list_changes(sent_revision)
         before = ledger.revision
-        _tell(relay, ledger)
+        _send_updates(relay, ledger)
         assert ledger.revision == before
 
 
 class TestBounds:
     """Tests of what is kept."""
 
-    def test_hundred_thousand_contents_stay_within_bounds(self) -> None:
+    def test_number_of_contents_is_bounded(self) -> None:
         """Racks fall under many different requests; those that are held back stay."""
         ledger = CrashLedger()
         _record(ledger, "abc")
         for number in range(100_000):
             _record(ledger, "z", ContentId(str(number)))
-        assert len(ledger) == MOST_CONTENTS
-        assert ledger.find_hold(CONTENT) is not None
+        assert len(ledger) == MAX_CONTENTS
+        assert ledger.find_quarantine(CONTENT) is not None
 
-    def test_crashes_of_one_content_stay_within_bounds(self) -> None:
+    def test_number_of_crashes_per_content_is_bounded(self) -> None:
         """Further ones than these tell nothing new."""
         ledger = CrashLedger()
         _record(ledger, "abcdefghijklmnopqrstuvwxyz")
-        assert len(ledger.tell(CONTENT, read_clock())) == MOST_CRASHES
+        assert len(ledger.report_crashes(CONTENT, read_clock())) == MAX_CRASHES_PER_CONTENT
--- a/packages/wrenloft-routing/tests/test_failure_detector.py
+++ b/packages/wrenloft-routing/tests/test_failure_detector.py
@@ -22,101 +22,103 @@
 CONTENT = ContentId("c")
 
 
-class Watched:
+class DetectorHarness:
     """A watch of one endpoint whose address answers as a test says."""
 
     def __init__(self, liveness: Liveness) -> None:
         self.liveness = liveness
         self.probed = 0
-        self.falls: list[EndpointFailure] = []
+        self.failures: list[EndpointFailure] = []
         self.endpoints = Endpoints(PlaceName("p"), RegionName("r"))
         self.endpoints.update([ENDPOINT], trusted=True)
-        self.watch = FailureDetector(self.endpoints, self.falls.append, self._probe)
+        self.detector = FailureDetector(self.endpoints, self.failures.append, self._probe)
 
     async def _probe(self, address: str) -> Liveness:
         self.probed += 1
         return self.liveness
 
-    async def lose(self, *contents: str, sent_at: float = 0.0, silent: bool = False) -> None:
+    async def lose_answers(
+        self, *contents: str, sent_at: float = 0.0, silent: bool = False
+    ) -> None:
         """Lose the answers to requests, and let the endpoint be asked."""
         state = self.endpoints.get(ENDPOINT.agent_id)
         assert state is not None
         for content in contents:
-            self.watch.note_loss(state, ContentId(content), sent_at, silent=silent)
+            self.detector.record_loss(state, ContentId(content), sent_at, silent=silent)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("liveness", [Liveness.REFUSED, Liveness.SILENT])
-async def test_endpoint_that_takes_no_connection_has_fallen(liveness: Liveness) -> None:
+async def test_endpoint_that_accepts_no_connection_has_failed(liveness: Liveness) -> None:
     """All requests that were lost with it are named, and it is asked once."""
-    watched = Watched(liveness)
-    await watched.lose("a", "b")
-    assert [(each.incarnation, each.contents) for each in watched.falls] == [("e@5", {"a", "b"})]
-    assert watched.falls[0].sign.value == liveness.value
-    await watched.lose("c")
-    assert watched.falls[-1].contents == {"c"}
-    assert watched.probed == 1
+    harness = DetectorHarness(liveness)
+    await harness.lose_answers("a", "b")
+    assert [(each.incarnation, each.contents) for each in harness.failures] == [("e@5", {"a", "b"})]
+    assert harness.failures[0].sign.value == liveness.value
+    await harness.lose_answers("c")
+    assert harness.failures[-1].contents == {"c"}
+    assert harness.probed == 1
 
 
-async def test_broken_connection_to_a_live_endpoint_is_no_fall() -> None:
+async def test_broken_connection_to_a_live_endpoint_is_no_failure() -> None:
     """Connections of a whole zone are reset: answers are lost, and no endpoint fell."""
-    watched = Watched(Liveness.ANSWERS)
-    await watched.lose("a")
-    watched.watch.review()
-    assert not watched.falls
+    harness = DetectorHarness(Liveness.ANSWERS)
+    await harness.lose_answers("a")
+    harness.detector.review()
+    assert not harness.failures
 
 
 @pytest.mark.parametrize("after", [{"born": 9}, {"agent_id": AgentId("other")}])
-async def test_endpoint_that_was_quick_to_restart_has_fallen(after: dict[str, object]) -> None:
+async def test_restarted_endpoint_has_failed(after: dict[str, object]) -> None:
     """It fell seconds before its silence was noticed, and answers when it is asked.
 
     It is another incarnation in the next reading of the list.
     """
-    watched = Watched(Liveness.ANSWERS)
-    await watched.lose("a", silent=True)
-    watched.endpoints.update([replace(ENDPOINT, **after)], trusted=True)  # type: ignore[arg-type]
-    watched.watch.review()
-    assert [each.sign for each in watched.falls] == [FailureSign.RESTARTED]
+    harness = DetectorHarness(Liveness.ANSWERS)
+    await harness.lose_answers("a", silent=True)
+    harness.endpoints.update([replace(ENDPOINT, **after)], trusted=True)  # type: ignore[arg-type]
+    harness.detector.review()
+    assert [each.sign for each in harness.failures] == [FailureSign.RESTARTED]
 
 
-async def test_restart_that_was_listed_before_the_silence_was_noticed_is_a_fall() -> None:
+async def test_restart_listed_before_the_timeout_is_a_failure() -> None:
     """The endpoint was back within a second, and its requests had waited for two."""
-    watched = Watched(Liveness.ANSWERS)
-    state = watched.endpoints.get(ENDPOINT.agent_id)
+    harness = DetectorHarness(Liveness.ANSWERS)
+    state = harness.endpoints.get(ENDPOINT.agent_id)
     assert state is not None
-    watched.endpoints.update([replace(ENDPOINT, agent_id=AgentId("other"))], trusted=True)
-    watched.watch.note_loss(state, CONTENT, 0.0, silent=True)
+    harness.endpoints.update([replace(ENDPOINT, agent_id=AgentId("other"))], trusted=True)
+    harness.detector.record_loss(state, CONTENT, 0.0, silent=True)
     await asyncio.sleep(0.01)
-    assert [each.sign for each in watched.falls] == [FailureSign.RESTARTED]
+    assert [each.sign for each in harness.failures] == [FailureSign.RESTARTED]
 
 
-async def test_end_of_an_endpoint_that_was_leaving_is_no_fall() -> None:
+async def test_end_of_a_leaving_endpoint_is_no_failure() -> None:
     """It was drained, or is listed no more; its last answers are cut when it ends."""
-    watched = Watched(Liveness.REFUSED)
-    watched.endpoints.update([replace(ENDPOINT, leaving=True)], trusted=True)
-    await watched.lose("a")
-    assert not watched.probed
+    harness = DetectorHarness(Liveness.REFUSED)
+    harness.endpoints.update([replace(ENDPOINT, leaving=True)], trusted=True)
+    await harness.lose_answers("a")
+    assert not harness.probed
 
 
-async def test_silent_fall_is_found_out_by_the_next_caller() -> None:
+async def test_silent_failure_is_detected_by_the_next_request() -> None:
     """A call that may be sent once waits at a dark endpoint until its deadline, for seconds.
 
     Another caller's connection there is refused meanwhile; both calls' contents are not alike.
     """
-    watched = Watched(Liveness.SILENT)
-    state = watched.endpoints.get(ENDPOINT.agent_id)
+    harness = DetectorHarness(Liveness.SILENT)
+    state = harness.endpoints.get(ENDPOINT.agent_id)
     assert state is not None
-    with watched.watch.run([state], CONTENT):
-        watched.watch.note_unreachable(state)
+    with harness.detector.track_request([state], CONTENT):
+        harness.detector.record_unreachable(state)
         await asyncio.sleep(0.01)
-        assert [each.contents for each in watched.falls] == [{"c"}]
-    watched.watch.note_unreachable(state)
+        assert [each.contents for each in harness.failures] == [{"c"}]
+    harness.detector.record_unreachable(state)
     await asyncio.sleep(0.01)
-    assert len(watched.falls) == 1
+    assert len(harness.failures) == 1
 
 
-async def test_probe_tells_a_closed_port_from_an_open_one() -> None:
+async def test_probe_distinguishes_closed_and_open_ports() -> None:
     """A process that ended refuses the next connection."""
     server = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -126,18 +128,18 @@
     assert await probe_address(address) is Liveness.REFUSED
 
 
-async def test_request_sent_after_the_fall_had_no_part_in_it() -> None:
+async def test_request_sent_after_the_failure_is_not_involved() -> None:
     """A chain names an engine that fell before the request was sent to the chain's first one."""
-    watched = Watched(Liveness.REFUSED)
-    await watched.lose("a")
-    await watched.lose("b", sent_at=watched.falls[0].at + 0.01)
-    assert [each.contents for each in watched.falls] == [{"a"}]
+    harness = DetectorHarness(Liveness.REFUSED)
+    await harness.lose_answers("a")
+    await harness.lose_answers("b", sent_at=harness.failures[0].at + 0.01)
+    assert [each.contents for each in harness.failures] == [{"a"}]
 
 
-async def test_connection_broken_before_a_fall_is_not_blamed_for_it() -> None:
+async def test_connection_broken_before_a_failure_is_not_involved() -> None:
     """A reset cuts one request off; a second later another request crashes the endpoint."""
-    watched = Watched(Liveness.ANSWERS)
-    await watched.lose("a")
-    watched.liveness = Liveness.REFUSED
-    await watched.lose("b")
-    assert [each.contents for each in watched.falls] == [{"b"}]
+    harness = DetectorHarness(Liveness.ANSWERS)
+    await harness.lose_answers("a")
+    harness.liveness = Liveness.REFUSED
+    await harness.lose_answers("b")
+    assert [each.contents for each in harness.failures] == [{"b"}]
