--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -249,7 +249,7 @@
         f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints::test_leaving_outlives_a_lapsed_entry",
     ),
     Safeguard(
-        "routing: entries missing after an outage are doubted",
+        "routing: entries missing after an outage are kept",
         f"{ROUTING}/_endpoints.py",
         "if agent_id not in seen and trusted:",
         "if agent_id not in seen:",
@@ -257,7 +257,7 @@
         "::test_missing_entry_is_gone_only_if_the_reading_is_trusted",
     ),
     Safeguard(
-        "routing: a report that the version was given up goes before the list",
+        "routing: a report of a dropped version takes precedence over the list",
         f"{ROUTING}/_endpoints.py",
         "(report.version == 0 or report.version >= listed)",
         "report.version >= listed",
@@ -289,14 +289,14 @@
         "::test_unsafe_request_is_never_repeated",
     ),
     Safeguard(
-        "routing: events follow on each other",
+        "routing: events are contiguous",
         f"{ROUTING}/_streams.py",
         "if not _is_contiguous(events, stream.last_event):",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestStreams::test_wrong_continuation_is_rejected",
     ),
     Safeguard(
-        "routing: each naming keeps its deadline",
+        "routing: each announced version keeps its deadline",
         f"{ROUTING}/_gate.py",
         "known.append(wanted)",
         "known[:] = [wanted]",
@@ -306,7 +306,7 @@
     Safeguard(
         "routing: a chain is of one version",
         f"{ROUTING}/_chains.py",
-        "return weights_by_id[state.endpoint.agent_id].version == version",
+        "return held[state.endpoint.agent_id].version == version",
         "return True",
         f"{ROUTING_TESTS}/test_chains.py::TestListAble"
         "::test_versions_are_never_mixed_in_a_chain",
@@ -371,7 +371,7 @@
         "::test_closed_kept_connection_is_lost_and_sent_once",
     ),
     Safeguard(
-        "a later start of an endpoint begins anew",
+        "a restarted endpoint keeps no earlier state",
         f"{ROUTING}/_endpoints.py",
         "if state is not None and endpoint.born > state.endpoint.born:",
         "if False:",
@@ -379,7 +379,7 @@
         "::test_endpoint_that_starts_again_has_left_nothing",
     ),
     Safeguard(
-        "word of an earlier incarnation is dropped",
+        "a report of an earlier incarnation is dropped",
         f"{ROUTING}/_endpoints.py",
         "if report.born >= state.endpoint.born:",
         "if True:",
@@ -395,7 +395,7 @@
         "::test_entry_of_another_writer_takes_nobody_s_place",
     ),
     Safeguard(
-        "what waits shares the room by chance",
+        "waiting requests share spare capacity at random",
         f"{ROUTING}/_gate.py",
         "if queue.fresh + queue.late <= 1:",
         "if True:",
@@ -409,7 +409,7 @@
         f"{ROUTING_TESTS}/test_loads.py::TestPeerLoads::test_silent_node_stops_counting",
     ),
     Safeguard(
-        "a version that is due is no failure of the engine",
+        "a version deadline is no failure of the engine",
         f"{ROUTING}/_forward.py",
         "if read_clock() >= progress.begin_by:",
         "if False:",
@@ -635,7 +635,7 @@
         "::test_engines_go_on_one_after_the_other",
     ),
     Safeguard(
-        "crashes told by other nodes count",
+        "crashes reported by other nodes count",
         f"{ROUTING}/_crash_ledger.py",
         "if reported.age < EVIDENCE_SECONDS:",
         "if False:",
@@ -643,7 +643,7 @@
         "::test_third_crash_seen_by_any_node_quarantines",
     ),
     Safeguard(
-        "the fall of one incarnation is one crash",
+        "a failure of one incarnation is one crash",
         f"{ROUTING}/_crash_ledger.py",
         "entry.crashes[incarnation] = joined",
         'entry.crashes[IncarnationId(f"{incarnation}{self.revision}")] = joined',
@@ -664,14 +664,14 @@
         f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds" "::test_number_of_contents_is_bounded",
     ),
     Safeguard(
-        "what is held back is dropped last",
+        "quarantined contents are dropped last",
         f"{ROUTING}/_crash_ledger.py",
         "oldest = (each for each in self._entries if each not in self._suspects)",
         "oldest = iter(self._entries)",
         f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds" "::test_number_of_contents_is_bounded",
     ),
     Safeguard(
-        "a whole answer speaks for its content",
+        "a recent success exonerates its content",
         f"{ROUTING}/_crash_guard.py",
         "if crashed_at and is_proven(proven_at, max(crashed_at)):",
         "if False:",
@@ -686,14 +686,14 @@
         f"{POLICY_TESTS}/test_crashes.py::test_victim_of_a_worse_request_is_not_counted",
     ),
     Safeguard(
-        "a hold is stored by whoever saw a crash",
+        "a quarantine is stored by nodes that observed a crash",
         f"{ROUTING}/_crash_guard.py",
         "if self._ledger.has_own_crash(content):",
         "if False:",
         f"{ROUTING_TESTS}/test_crash_guard.py::test_quarantine_is_stored_by_nodes_that_observed_a_crash",
     ),
     Safeguard(
-        "one trial at a time at a node",
+        "one probe at a time at a node",
         f"{ROUTING}/_crash_guard.py",
         "self._probed_at[content] = read_clock()",
         "pass",
@@ -707,7 +707,7 @@
         f"{POLICY_TESTS}/test_crashes.py::test_each_further_crash_doubles_the_wait",
     ),
     Safeguard(
-        "a trial has one try",
+        "a probe has one attempt",
         f"{ROUTING}/_forward.py",
         "allowed = progress.rule.idempotent and not progress.is_probe",
         "allowed = progress.rule.idempotent",
@@ -715,7 +715,7 @@
         "::test_error_response_to_a_probe_is_forwarded",
     ),
     Safeguard(
-        "word that comes while a request waits is heeded",
+        "a crash update stops a waiting request",
         f"{ROUTING}/_forward.py",
         "if not progress.is_probe and self._guard.find_quarantine(progress.content) is not None:",
         "if False:",
@@ -723,7 +723,7 @@
         "::test_crash_update_stops_a_waiting_repeat",
     ),
     Safeguard(
-        "an endpoint that answers did not fall",
+        "an endpoint that answers has not failed",
         f"{ROUTING}/_failure_detector.py",
         "if liveness is Liveness.REFUSED:",
         "if liveness is not Liveness.SILENT:",
@@ -731,7 +731,7 @@
         "::test_broken_connection_to_a_live_endpoint_is_no_failure",
     ),
     Safeguard(
-        "a request sent after a fall has no part in it",
+        "a request sent after a failure is not involved",
         f"{ROUTING}/_failure_detector.py",
         "if sent_at <= losses.failed_at:",
         "if True:",
@@ -746,14 +746,14 @@
         "::test_end_of_a_leaving_endpoint_is_no_failure",
     ),
     Safeguard(
-        "a quick restart is a fall",
+        "a quick restart is a failure",
         f"{ROUTING}/_failure_detector.py",
         "return any(each.endpoint.incarnation != endpoint.incarnation for each in listed)",
         "return False",
         f"{ROUTING_TESTS}/test_failure_detector.py::test_restarted_endpoint_has_failed",
     ),
     Safeguard(
-        "a silent fall is found out by the next caller",
+        "a silent failure is detected by the next request",
         f"{ROUTING}/_forward.py",
         "self._detector.record_unreachable(state)",
         "pass",
@@ -783,14 +783,14 @@
         "::test_limited_endpoint_gets_no_more_from_all_nodes_than_it_named[1.8]",
     ),
     Safeguard(
-        "each try to a limited endpoint needs a grant",
+        "each attempt at a limited endpoint needs a grant",
         f"{ROUTING}/_forward.py",
         "await self._request_grants(placed.states, placement.urgency)",
         "True",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits::test_every_attempt_requests_a_grant",
     ),
     Safeguard(
-        "an endpoint without a grant is passed over",
+        "an endpoint that denied a grant is skipped",
         f"{ROUTING}/_gate.py",
         "states = [each for each in usable if each.denial.retry_at <= now]",
         "states = usable",
@@ -798,7 +798,7 @@
         "::test_request_moves_to_an_endpoint_with_capacity_at_once",
     ),
     Safeguard(
-        "a request that limits leave no turn is refused at once",
+        "a request without a timely turn is refused at once",
         f"{ROUTING}/_gate.py",
         "if all(each.limited for each in loads):",
         "if False:",
@@ -806,7 +806,7 @@
         "::test_request_without_a_timely_turn_is_refused_at_once",
     ),
     Safeguard(
-        "a request asks few of many limited endpoints",
+        "a request tries few of many limited endpoints",
         f"{ROUTING}/_gate.py",
         "return self.denials < MAX_DENIALS",
         "return True",
@@ -883,7 +883,7 @@
         "::test_restarted_endpoint_is_not_limited",
     ),
     Safeguard(
-        "an urgent request asks where a less urgent one was denied",
+        "an urgent request retries where a less urgent one was denied",
         f"{ROUTING}/_gate.py",
         "if choice is None and opening is not None and request.urgency < opening.urgency:",
         "if False:",
