--- a/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
@@ -1,4 +1,5 @@
-"""The endpoints of all services: what the list says of them and what this node saw itself."""
+"""The endpoints of all services: their list entries, reports and the load that this node
+observes."""
 
 import asyncio
 import logging
@@ -31,16 +32,16 @@
 _LOG = logging.getLogger(__name__)
 
 SUSPECT_SECONDS = 1.5
-"""How long a first failure keeps requests away; doubled by each further one in a row."""
+"""Seconds for which a first failure excludes an endpoint; doubled by each further one in a row."""
 
 MAX_SUSPECT_SECONDS = 6.0
-"""Half of the shortest recovery that operators allow, so that a return is noticed in time."""
+"""Half of the shortest recovery time that operators allow, so that a return is noticed in time."""
 
 FULL_SECONDS = 0.12
-"""How long an endpoint that said it was full is passed over: about one slot becomes free."""
+"""Seconds for which an endpoint that was full is skipped: about one slot becomes free meanwhile."""
 
 REPORT_STALE_SECONDS = 0.7
-"""Age after which an agent's report is no longer used: seven reports were missed."""
+"""Age after which an agent's report is ignored: seven reports were missed."""
 
 RATE_LIMIT = Gauge(
     "wrenloft_endpoint_rate_limit",
@@ -49,24 +50,24 @@
 )
 
 MAX_SENT_TIMES = 64
-"""Times of sent requests kept for each endpoint: four times an engine's slots, sent in a second."""
+"""Times of sent requests kept per endpoint: four times an engine's slots, sent within a second."""
 
 IDLE_CONNECTION_SECONDS = 4.0
-"""How long an idle connection to an endpoint is kept; shorter than endpoints keep theirs, so that a
-request does not meet their close."""
+"""Seconds for which an idle connection to an endpoint is kept. Shorter than the endpoints' own
+keep-alive timeout, so that no request is sent on a connection that is being closed."""
 
 HEADER_STALE_SECONDS = 0.5
-"""Age after which the load that came with an answer is no longer used."""
+"""Age after which the load in an answer's header is ignored."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One incarnation of an endpoint, as the list names it.
+    """One incarnation of an endpoint, as listed.
 
     :param versions: version of each model that it serves.
-    :param span: the layers that it holds, ``None`` if it holds none.
-    :param born: when it was started, in milliseconds since the epoch of its own clock, 0 if not
-        told. An endpoint may start again under its id; the later start is another incarnation.
+    :param span: the layers that it has loaded, ``None`` if none.
+    :param born: start time in milliseconds since the epoch of its own clock, 0 if unknown. An
+        endpoint may restart under the same id; each start is a new incarnation.
     """
 
     agent_id: AgentId
@@ -82,17 +83,17 @@
 
     @property
     def incarnation(self) -> IncarnationId:
-        """What tells it from an endpoint that was started before or after under the same id."""
+        """The id that distinguishes starts of an endpoint under the same agent id."""
         return IncarnationId(f"{self.agent_id}@{self.born}")
 
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an agent reports of its own engine.
+    """An agent's report of its own engine.
 
     :param version: of the model's weights in service, 0 if there are none.
     :param loading: whether an order is in progress.
-    :param span: the layers of that version in service, ``None`` while it takes nothing new.
+    :param span: the layers of that version in service, ``None`` while it takes no new requests.
     :param born: as of :class:`Endpoint`.
     """
 
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineWeights:
-    """What an engine can work with; version 0 and no layers if nothing."""
+    """The weights that an engine can use; version 0 and no layers if none."""
 
     version: int
     span: LayerSpan | None
@@ -117,9 +118,9 @@
 class Denial:
     """A grant that an endpoint's limiter denied.
 
-    :param urgency: of the request; a more urgent one may ask before the pause is over.
-    :param retry_at: until when others do not ask.
-    :param turn_at: when a request that waits would have its turn.
+    :param urgency: of the request; a more urgent one may request a grant before ``retry_at``.
+    :param retry_at: until when others request no grant.
+    :param turn_at: when a waiting request would have its turn.
     """
 
     urgency: int
@@ -132,14 +133,15 @@
 
 @dataclass(slots=True)
 class EndpointState:
-    """An endpoint and what this node knows of it beyond the list.
+    """An endpoint with this node's information on it.
 
     :param in_progress: requests that this node sent to it.
-    :param reported_at: when the report came.
-    :param agent_contact_at: when its agent, which had nothing new to say, was still heard.
-    :param downstream_requests: requests of this node in progress in chains that it is part of.
-    :param idle_since: since when each idle connection to it is kept.
-    :param denial: the latest grant that was denied: its rate limit is used up.
+    :param reported_at: when the latest report was received.
+    :param agent_contact_at: when its agent was last reachable, with or without a new report.
+    :param downstream_requests: requests of this node in progress that reach it behind another
+        engine.
+    :param idle_since: since when each connection to it has been idle.
+    :param denial: the latest denied grant: its rate limit is used up.
     """
 
     endpoint: Endpoint
@@ -159,50 +161,50 @@
     denial: Denial = NO_DENIAL
 
     def push_idle_connection(self, now: float) -> None:
-        """Take that a connection to it was left open and idle."""
+        """Record that a connection to it was left open and idle."""
         self.idle_since.append(now)
 
     def pop_idle_connection(self) -> None:
-        """Take that a request uses the connection that was used last."""
+        """Record that a request reuses the connection that was used last."""
         if self.idle_since:
             self.idle_since.pop()
 
     def has_idle_connection(self, now: float) -> bool:
-        """Whether a connection to it is open and idle."""
+        """Return whether a connection to it is open and idle."""
         return bool(self.idle_since) and now - self.idle_since[-1] < IDLE_CONNECTION_SECONDS
 
     def add_load(self, by: InProgress) -> None:
-        """Take that requests of this node began, went on or ended there."""
+        """Add a change of this node's requests in progress there."""
         self.in_progress += by
 
     def has_fresh_report(self, now: float) -> bool:
-        """Whether its agent reported lately."""
+        """Return whether its agent was reachable recently."""
         return self.report is not None and now - self.agent_contact_at < REPORT_STALE_SECONDS
 
     def record_sent(self, now: float) -> None:
-        """Take that a request was sent to it."""
+        """Record that a request was sent to it."""
         self.sent_at.append(now)
 
     def count_sent(self, since: float) -> int:
-        """Return the requests sent from here after a time."""
+        """Return the number of requests sent from this node after a time."""
         return sum(at > since for at in self.sent_at)
 
     def find_load_time(self, now: float) -> float:
-        """Return from when on sent requests are missing in what is known of its load."""
+        """Return the time up to which sent requests are included in its known load."""
         known_at = self.reported_at if self.has_fresh_report(now) else self.header_at
         return max(known_at, now - REPORT_STALE_SECONDS)
 
     def find_weights(self, model: str, now: float) -> EngineWeights:
-        """Return what it holds of a model.
+        """Return the weights of a model that it has loaded.
 
-        A fresh report goes before the list, which is seconds behind: an engine that gives up a
-        version for the next one is still listed with it. A stale one does not, since its agent
-        may have died while the engine went on.
+        A fresh report takes precedence over the list, which is seconds behind: an engine that drops
+        a version for the next one is still listed with the old one. A stale report does not, since
+        its agent may have died while the engine continued.
         """
         listed = self.endpoint.versions.get(model, 0)
         report = self.report
         if report is not None and report.born > self.endpoint.born:
-            # The list still shows the incarnation before; what that held is gone.
+            # The list shows the previous incarnation, whose weights are gone.
             return EngineWeights(report.version, report.span)
         fresh = report is not None and self.has_fresh_report(now)
         if report is not None and fresh and (report.version == 0 or report.version >= listed):
@@ -233,23 +235,23 @@
         self.revision = 0
 
     def mark_changed(self) -> None:
-        """Take that something has changed that decides which endpoints can be used at all."""
+        """Record a change of which endpoints can be used at all."""
         self.revision += 1
 
     def wake_waiting(self) -> None:
-        """Wake whoever waits for room."""
+        """Wake all requests that wait for spare capacity."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def update(self, listed: Iterable[Endpoint], *, trusted: bool) -> None:
-        """Take a new reading of the list.
+        """Apply a new snapshot of the list.
 
-        A leaving endpoint stays leaving, whatever a later reading says: an older reading that
-        arrives late would otherwise send it new requests after it had been told to go.
+        A leaving endpoint stays leaving: an older snapshot that arrives late would otherwise send
+        new requests to an endpoint that is draining.
 
-        :param trusted: whether a missing entry may count as gone. Entries lapse while the store
-            is away without their endpoints having died; taking them for dead would empty the
-            list at the moment when nothing can refill it.
+        :param trusted: whether a missing entry means that its endpoint is gone. Entries expire
+            while the store is unavailable although their endpoints are alive; removing them would
+            empty the list at a time when it can't be refilled.
         """
         seen = {each.agent_id: each for each in listed}
         for agent_id, endpoint in seen.items():
@@ -258,17 +260,18 @@
             if agent_id not in seen and trusted:
                 del self._states[agent_id]
                 _export_rate_limit(agent_id, None)
-                note(_LOG, "endpoint gone", endpoint=agent_id, service=state.endpoint.service)
+                note(_LOG, "endpoint removed", endpoint=agent_id, service=state.endpoint.service)
         self._index()
 
     def _update_endpoint(self, agent_id: AgentId, endpoint: Endpoint) -> None:
         state = self._states.get(agent_id)
         if state is not None and endpoint.born < state.endpoint.born:
-            return  # an older reading, of the incarnation before
+            return  # an older snapshot, of the previous incarnation
         if state is not None and endpoint.born > state.endpoint.born:
-            # It started again and knows nothing of before: with the former one's report it would
-            # get requests for weights it lacks, with its mark of leaving it would get none.
-            note(_LOG, "endpoint started again", endpoint=agent_id, born=endpoint.born)
+            # A restarted endpoint keeps no earlier state: the report of the previous incarnation
+            # would send it requests for weights that it lacks, and its leaving mark would exclude
+            # it.
+            note(_LOG, "endpoint restarted", endpoint=agent_id, born=endpoint.born)
             state = None
         if state is None:
             leaving = self._left_born.get(agent_id, -1) >= endpoint.born
@@ -287,7 +290,7 @@
             self._mark_leaving(state)
 
     def _mark_leaving(self, state: EndpointState) -> None:
-        """Send this incarnation nothing more, whatever the list says later."""
+        """Exclude this incarnation, whatever the list says later."""
         self._left_born[state.endpoint.agent_id] = state.endpoint.born
         state.leaving = True
         note(_LOG, "endpoint leaving", endpoint=state.endpoint.agent_id, born=state.endpoint.born)
@@ -302,7 +305,7 @@
         self.wake_waiting()
 
     def list_in_progress(self) -> dict[AgentId, InProgress]:
-        """Return what this node has in progress, by endpoint; others are told of it."""
+        """Return this node's requests in progress by endpoint, for publication to other nodes."""
         return {
             agent_id: state.in_progress
             for agent_id, state in self._states.items()
@@ -314,7 +317,7 @@
         return self._states.get(agent_id)
 
     def of_service(self, service: ServiceName) -> list[EndpointState]:
-        """Return the known endpoints of a service, leaving ones included."""
+        """Return the known endpoints of a service, including leaving ones."""
         return self._by_service.get(service, [])
 
     def find_by_address(self, address: str) -> list[EndpointState]:
@@ -322,7 +325,7 @@
         return self._by_address.get(address, [])
 
     def record_report(self, address: str, report: EngineReport, now: float) -> None:
-        """Take an agent's report of its engine, unless it is of an earlier incarnation."""
+        """Record an agent's report of its engine, unless it is of an earlier incarnation."""
         for state in self.find_by_address(address):
             if report.born >= state.endpoint.born:
                 if state.report is None or _serves_different_weights(state.report, report):
@@ -332,13 +335,13 @@
         self.wake_waiting()
 
     def forget_report(self, address: str) -> None:
-        """Take that an engine's agent is no longer heard."""
+        """Drop the report of an engine whose agent is no longer reachable."""
         for state in self.find_by_address(address):
             state.report = None
         self.mark_changed()
 
     def refresh_reports(self, addresses: Iterable[str], now: float) -> None:
-        """Take that agents are still heard, and have nothing new to say."""
+        """Record that agents without a new report are still reachable."""
         for address in addresses:
             for state in self.find_by_address(address):
                 state.agent_contact_at = now
@@ -346,26 +349,26 @@
     def record_header_load(
         self, state: EndpointState, load: tuple[int, int, int] | None, now: float
     ) -> None:
-        """Take the load that came with an answer."""
+        """Record the load in an answer's header."""
         if load is not None:
             state.header_load = load
             state.header_at = now
 
     def find_rate_limit(self, state: EndpointState) -> float | None:
-        """Return the requests a second that an endpoint takes, ``None`` if it has no limit."""
+        """Return the requests per second that an endpoint takes, ``None`` if it has no limit."""
         return self.limits.find_rate(state.endpoint.incarnation) if self.limits else None
 
     def record_limit(
         self, state: EndpointState, named: NamedLimit | None, *, limit_known: bool
     ) -> None:
-        """Take the rate limit that an answer names, or that it names none.
+        """Record the rate limit that an answer names, or the lack of one.
 
         :param limit_known: whether a limit was known when the request was sent.
         """
         self.limits.observe(state.endpoint.incarnation, named, limit_known=limit_known)
 
     def _on_limit_change(self, incarnation: IncarnationId, old: float | None) -> None:
-        """Show an endpoint's limit; let requests ask again at once if it has risen or ended."""
+        """Export an endpoint's limit; end its denial if the limit has risen or ended."""
         agent_id = AgentId(incarnation.rpartition("@")[0])
         state = self._states.get(agent_id)
         if state is None or state.endpoint.incarnation != incarnation:
@@ -378,34 +381,35 @@
         self.wake_waiting()
 
     def record_denial(self, state: EndpointState, denial: Denial) -> None:
-        """Pass an endpoint over whose rate limit is used up."""
+        """Skip an endpoint whose rate limit is used up."""
         state.denial = denial
         self.mark_changed()
 
     def record_success(self, state: EndpointState) -> None:
-        """Forget failures."""
+        """Reset the failures of an endpoint."""
         state.failures = 0
         state.suspect_until = 0.0
 
     def record_failure(self, state: EndpointState, now: float) -> None:
-        """Keep requests away for a while, longer each time in a row."""
+        """Exclude an endpoint for a time that doubles with each failure in a row."""
         pause = min(MAX_SUSPECT_SECONDS, SUSPECT_SECONDS * 2**state.failures)
         state.failures += 1
         state.suspect_until = now + pause
         self.mark_changed()
 
     def record_full(self, state: EndpointState, now: float) -> None:
-        """Pass an endpoint over for a moment: it said that it takes nothing more."""
+        """Skip an endpoint for a moment after it rejected a request as full."""
         state.full_until = now + FULL_SECONDS
         self.mark_changed()
 
     def measure_load(
         self, state: EndpointState, now: float, *, all_reachable: bool = False
     ) -> EndpointLoad:
-        """Return an endpoint's load as the choice reads it.
+        """Return an endpoint's load for the choice of an endpoint.
 
-        :param all_reachable: whether every other entry node tells what it has in progress there; if
-            not, the endpoint's own word counts too, which is older and knows of all.
+        :param all_reachable: whether all other entry nodes publish their requests in progress
+            there; if not, the endpoint's own report counts too, which is older but includes all
+            requests.
         """
         pace = 1.0
         if state.report is not None and state.has_fresh_report(now):
