--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -1,4 +1,4 @@
-"""Waiting for room at an endpoint: most urgent first, briefly, refused early."""
+"""Admission to endpoints: requests wait briefly by urgency, or are refused early."""
 
 import asyncio
 from collections.abc import Callable, Collection, Sequence
@@ -35,34 +35,35 @@
 from wrenloft_routing._table import BackendService
 
 DEFAULT_WORK_SECONDS = 0.03
-"""Seconds a plain service works on a request, until answers have shown better."""
+"""Seconds of work on a request at a plain service, until answers give an estimate."""
 
 _WORK_WEIGHT = 0.05
-"""Weight of one answer in the running mean: the last 20 answers count most."""
+"""Weight of one answer in the exponential moving average, about the last 20 answers."""
 
 MAX_DENIALS = 5
-"""Grants denied in a row after which a request stops asking. Each takes a few milliseconds; where
-all endpoints are limited and used up, asking every one of them would be a wait by itself."""
+"""Grants denied in a row after which a request stops requesting them. Each takes a few
+milliseconds, so that asking every endpoint would delay the refusal where all are limited."""
 
 FRESH_REFUSED_SECONDS = 1.0
-"""How long after a fresh request found no room at limited endpoints late ones do not wait there."""
+"""Seconds for which overdue requests do not wait at limited endpoints after a fresh request was
+refused there."""
 
 _MIN_WAIT_SECONDS = 0.005
-"""Shortest pause between two looks at the endpoints, in seconds."""
+"""Shortest interval between two checks of the endpoints."""
 
 
 @dataclass(slots=True, eq=False)
 class PlacementRequest:
-    """A request that wants an endpoint.
+    """A request to be placed at an endpoint.
 
     :param rank: 0 for the most urgent.
     :param since: when it began to wait.
-    :param spent: seconds from the caller's first attempt until then.
-    :param aim: seconds from ``since`` within which it has its full worth.
-    :param deadline: when nobody waits any more.
-    :param begun: whether the caller has part of the answer; it then goes before all others and
-        is refused only if nobody can go on.
-    :param not_before: until when it leaves the room that there is to others that wait.
+    :param elapsed: seconds from the caller's first attempt until then.
+    :param latency_objective: seconds from ``since`` within which an answer has its full value.
+    :param deadline: when the caller times out.
+    :param begun: whether the caller has part of the answer; the request then goes before all others
+        and is refused only if no endpoint can resume it.
+    :param not_before: until when it leaves spare capacity to other waiting requests.
     :param denials: grants that limited endpoints denied it since it last waited.
     """
 
@@ -79,34 +80,34 @@
 
     @property
     def can_request_grants(self) -> bool:
-        """Whether it may still ask for grants, and not only go where none is needed."""
+        """Whether it can still request grants; otherwise it only uses unlimited endpoints."""
         return self.denials < MAX_DENIALS
 
     @property
     def order(self) -> tuple[int, bool]:
-        """What goes first: the most urgent, and of these those that can still be in time."""
+        """The sort key of waiting requests: by rank, then those that can be in time first."""
         if self.begun:
             return -1, False
         return self.rank, self.is_overdue
 
     @property
     def urgency(self) -> int:
-        """The same as one number; the lowest goes first."""
+        """The order as one number; the lowest goes first."""
         rank, late = self.order
         return 2 * rank + late
 
     @property
     def is_overdue(self) -> bool:
-        """Whether the answer comes late in any case."""
+        """Whether the answer can't be in time."""
         return not self.begun and self.elapsed > self.latency_objective * HOLD_SHARE
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """The endpoint that was chosen, and what the choice was made from.
+    """The chosen endpoint, and the basis of the choice.
 
     :param version: the only version on which the request may begin there, ``None`` for any. The
-        endpoint checks it: what this node knows of its version may be old.
+        endpoint verifies it, since this node's information may be outdated.
     :param chain: the engines that it goes through, empty if the endpoint alone suffices.
     """
 
@@ -124,11 +125,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitedTurn:
-    """What a request can expect of endpoints whose rate limits are used up.
+    """The expected turn of a request at endpoints whose rate limits are used up.
 
-    :param wait: seconds until it would have its turn.
-    :param rate: requests a second that these endpoints take together.
-    :param waiting: requests that wait for them anywhere.
+    :param wait: seconds until its turn.
+    :param rate: total requests per second that these endpoints take.
+    :param waiting: requests that wait for them at all nodes.
     """
 
     wait: float
@@ -140,7 +141,7 @@
 class Refused:
     """No endpoint can answer in time.
 
-    :param turn: set if only rate limits stand against it.
+    :param turn: set if only rate limits prevent it.
     """
 
     reason: str
@@ -149,11 +150,11 @@
 
 
 class Gate:
-    """Places requests at endpoints.
+    """Place requests at endpoints.
 
-    :param version_seconds: from naming a version until requests may begin on it only.
-    :param count_nodes: returns how many live entry nodes send to the same endpoints.
-    :param update_interval: returns the seconds until other nodes have heard of what was sent.
+    :param version_seconds: from the announcement of a version until requests may begin only on it.
+    :param count_nodes: returns the number of live entry nodes that send to the same endpoints.
+    :param update_interval: returns the seconds until other nodes know of sent requests.
     """
 
     def __init__(
@@ -177,20 +178,20 @@
         self._snapshots: dict[tuple[ServiceName, bool], Snapshot] = {}
 
     def record_work_seconds(self, service: ServiceName, seconds: float) -> None:
-        """Take the time that a plain service needed for an answer."""
+        """Record the time that a plain service needed for an answer."""
         mean = self._work.get(service, DEFAULT_WORK_SECONDS)
         self._work[service] = mean + _WORK_WEIGHT * (seconds - mean)
 
     def record_first_event(self, service: ServiceName, *, in_time: bool) -> None:
-        """Take whether a request that could be in time had its first event in time."""
+        """Record whether a request that could be in time had its first event in time."""
         share = self._objective_shares.get(service, AIM_SHARE_MOST)
         self._objective_shares[service] = adjust_aim_share(share, in_time=in_time)
 
     def announce_version(self, model: str, wanted: WantedVersion) -> bool:
-        """Take a version that operators named; return whether it is newer than all known.
+        """Record an announced version; return whether it is newer than all known ones.
 
-        Each has its own deadline: a third version named before the second is in service does
-        not put off the second's.
+        Each has its own deadline: announcing a third version before the second is in service does
+        not postpone the deadline of the second.
         """
         known = self._wanted.setdefault(model, [])
         if known and known[-1].number >= wanted.number:
@@ -210,7 +211,7 @@
     def measure_begin_limit(self, state: EndpointState, service: BackendService) -> float:
         """Return the seconds after which a request may no longer begin at an endpoint.
 
-        Infinite if no version newer than the endpoint's is named.
+        Infinite if no version newer than the endpoint's is announced.
         """
         if service.model is None:
             return float("inf")
@@ -225,7 +226,7 @@
     async def place(
         self, request: PlacementRequest, tried: Collection[AgentId]
     ) -> Placed | Refused:
-        """Return an endpoint with room, waiting a moment for one if it must."""
+        """Return an endpoint with spare capacity, waiting briefly for one if necessary."""
         queue = self._waiting.setdefault(request.service.name, [])
         queue.append(request)
         try:
@@ -260,7 +261,7 @@
         if verdict is Verdict.REFUSE:
             known = len(self._endpoints.of_service(request.service.name))
             if choice is None:
-                return Refused(f"none of {known} endpoints can take it", 0)
+                return Refused(f"none of {known} endpoints can take the request", 0)
             needed = count_seconds(choice.prediction, request.service.engine)
             return Refused(f"best of {len(snapshot.able)} needs {needed:.3f} s", len(snapshot.able))
         return None
@@ -273,8 +274,8 @@
         candidates: int,
         now: float,
     ) -> Placed:
-        # Engines of a chain are told the version as well: one that has just gone on to the next
-        # version would otherwise run its layers of that.
+        # Pin the version for all engines of a chain: one that has just swapped would otherwise run
+        # its layers of the next version.
         pinned = self.find_required_version(request.service, now) or chosen.chain
         version = chosen.version if pinned else None
         return Placed(chosen.state, prediction, candidates, version, chosen.chain)
@@ -282,7 +283,7 @@
     def _find_turn(
         self, request: PlacementRequest, snapshot: Snapshot, now: float
     ) -> LimitedTurn | None:
-        """Return what a request can expect if nothing but rate limits stands against it."""
+        """Return the expected turn of a request if only rate limits prevent sending it."""
         opening = snapshot.opening
         if opening is None:
             return None
@@ -302,13 +303,13 @@
             turn.wait, least, waited, request.elapsed, request.latency_objective, left
         )
         if request.is_overdue and self._has_refused_fresh(request.service.name, now):
-            verdict = Verdict.REFUSE  # fresh ones take all there is
+            verdict = Verdict.REFUSE  # fresh requests use all capacity
         if verdict is Verdict.HOLD:
             request.denials = 0
             return None
         if not request.is_overdue:
             self._fresh_refused_at[request.service.name] = now
-        return Refused(f"rate limits leave room in {turn.wait:.2f} s", 0, turn)
+        return Refused(f"rate limits allow a request in {turn.wait:.2f} s", 0, turn)
 
     def _has_refused_fresh(self, service: ServiceName, now: float) -> bool:
         at = self._fresh_refused_at.get(service, -inf)
@@ -317,9 +318,9 @@
     def _get_snapshot(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
     ) -> Snapshot:
-        """Return what is known of a service's endpoints now, or was a moment ago.
+        """Return a snapshot of a service's endpoints, at most a moment old.
 
-        :param limited: whether those with a rate limit count as well.
+        :param limited: whether to include endpoints with a rate limit.
         """
         revision = (self._endpoints.revision, self.find_required_version(service, now))
         key = (service.name, limited)
@@ -340,7 +341,7 @@
     def _choose_endpoint(
         self, request: PlacementRequest, snapshot: Snapshot, now: float
     ) -> tuple[Choice | None, Verdict]:
-        """Choose an endpoint, and decide whether the request is sent there now."""
+        """Choose an endpoint, and decide whether to send the request there now."""
         engine = request.service.engine
         work = snapshot.work
         objective_share = self._objective_shares.get(request.service.name, AIM_SHARE_MOST)
@@ -359,7 +360,8 @@
             least = self._measure_idle_latency(request, work)
             urgent = any(each.order < request.order for each in self._waiting[request.service.name])
             limit = request.latency_objective * objective_share
-            # A limiter says itself who goes; yielding to others as well would be a wait in vain.
+            # A limiter orders the requests itself; deferring to others as well would only add a
+            # wait.
             needs_grant = snapshot.is_limited(choice.key)
             if not urgent and (
                 needs_grant or not self._should_defer(request, snapshot, limit, now)
@@ -378,7 +380,7 @@
         return choice, verdict
 
     def _count_ahead(self, request: PlacementRequest) -> int:
-        """Count the requests that wait here and go before one."""
+        """Count the requests that wait here and go before a request."""
         queue = self._waiting[request.service.name]
         place = queue.index(request)
         earlier = sum(each.order <= request.order for each in queue[:place])
@@ -387,14 +389,14 @@
     def _should_defer(
         self, request: PlacementRequest, snapshot: Snapshot, limit: float, now: float
     ) -> bool:
-        """Tell whether a request leaves what room there is to others that wait, here or elsewhere.
+        """Return whether a request leaves the spare capacity to others, here or elsewhere.
 
-        Answers an engine that is back while many wait: all nodes saw it idle at the same moment,
-        and 21 requests reached it within a twentieth of a second, of which a third were in time.
-        Each goes with the chance that lets in as many as there is room for, until the nodes have
-        heard of one another's sends.
+        When an engine returns while many requests wait, all nodes see it idle at the same moment:
+        21 requests reached it within 50 ms, of which a third were in time. Each request is
+        therefore sent with a probability that admits as many as there is capacity for, until the
+        nodes have received one another's load updates.
 
-        :param limit: seconds to a first event that are in time.
+        :param limit: seconds to a first event that is in time.
         """
         engine = request.service.engine
         if engine is None or request.begun:
@@ -420,7 +422,7 @@
         return QueueLength(len(waiting) - late, late)
 
     def list_queues(self) -> dict[ServiceName, QueueLength]:
-        """Return what waits here for each service; other nodes are told of it."""
+        """Return the waiting requests of each service, for publication to other nodes."""
         return {
             service: self._count_queue(service)
             for service, waiting in self._waiting.items()
@@ -428,7 +430,7 @@
         }
 
     def _measure_idle_latency(self, request: PlacementRequest, work: float) -> float:
-        """Return the seconds that count against the aim at an idle endpoint."""
+        """Return the seconds that count against the latency objective at an idle endpoint."""
         return count_seconds(self._predict_idle(request, work), request.service.engine)
 
     def _predict_idle(self, request: PlacementRequest, work: float) -> Prediction:
@@ -463,9 +465,9 @@
     def _find_opening(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
     ) -> Opening | None:
-        """Return when endpoints that only their rate limits keep out take a request again.
+        """Return when endpoints that are excluded only by rate limits take a request again.
 
-        :param limited: whether a request may ask those that have not denied one.
+        :param limited: whether a request may use those that have not denied one.
         """
         if not len(self._endpoints.limits):
             return None
@@ -487,7 +489,7 @@
     def _list_usable(
         self, service: BackendService, tried: Collection[AgentId], now: float
     ) -> list[EndpointState]:
-        """Return the endpoints that nothing but weights or a rate limit keeps out."""
+        """Return the endpoints that only weights or a rate limit can exclude."""
         return [
             each
             for each in self._endpoints.of_service(service.name)
@@ -496,10 +498,10 @@
 
 
 async def _wait(changed: asyncio.Event, request: PlacementRequest) -> None:
-    """Wait for a change, or for a moment in which marks of full endpoints may have passed.
+    """Wait for a change, or until a full endpoint may be used again.
 
-    A stream that goes on elsewhere looks again at once; others leave a moment between two looks,
-    since each change wakes all that wait.
+    A resumed stream checks again at once. Others pause between two checks, since each change wakes
+    all waiting requests.
     """
     if not request.begun:
         await asyncio.sleep(_MIN_WAIT_SECONDS)
