--- a/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its arrival to its final answer."""
+"""Handling of one caller's request, from its arrival to its final answer."""
 
 import asyncio
 import logging
@@ -51,30 +51,30 @@
 _LOG = logging.getLogger(__name__)
 
 _MAX_CONNECT_ATTEMPTS = 4
-"""Endpoints that may fail to connect before a request is given up; a connection is tried for a
-quarter of a second, so this is one second in all."""
+"""Endpoints that may fail to connect before a request is given up. A connect attempt times out
+after 0.25 s, so this bounds the time spent connecting to one second."""
 
 _SILENCE_OBJECTIVES = 4.0
-"""Aims after which an idempotent request that has no answer is tried elsewhere, if time is left:
-late already, it can still be answered before its caller gives up."""
+"""Latency objectives after which an idempotent request without an answer is retried elsewhere, if
+time is left: it is overdue, but can still be answered before its caller times out."""
 
 _SILENCE_SHARE = 0.4
-"""Part of the time left that a silent endpoint may use up before another is tried."""
+"""Share of the remaining time that a silent endpoint may use before another one is tried."""
 
 TIMEOUT_DECAY = 0.9995
-"""By which the longest patience of a rule fades with each request, so that a shorter one in a new
-configuration is learnt within some hundred requests."""
+"""Factor by which the longest caller timeout of a rule decays with each request, so that a shorter
+timeout in a new configuration is learned within some hundred requests."""
 
 BEGIN_MARGIN_SECONDS = 0.3
-"""Before a version's deadline, by which a request that has not begun is given up: its close reaches
-an endpoint behind chunks of weights in 0.2 s at the worst."""
+"""Margin before a version's deadline at which a request that has not begun is cancelled. Closing
+the connection takes up to 0.2 s to reach an endpoint that is receiving chunks of weights."""
 
 _MIN_TIME_LEFT_SECONDS = 0.03
-"""Seconds below which a request is not sent any more: the way there and back takes 8 ms, and a
-plain service works 20 ms on it."""
+"""Remaining seconds below which a request is no longer sent: the round trip takes 8 ms, and a plain
+service works on a request for 20 ms."""
 
 _DRAIN_SECONDS = 0.03
-"""Longest wait for the rest of an answer that is not passed on."""
+"""Longest wait for the rest of an answer that is discarded."""
 
 
 RequestGrants = Callable[[Sequence[EndpointState], int], Awaitable[bool]]
@@ -85,11 +85,11 @@
 
 
 class Forwarder:
-    """Takes callers' requests and sees each to its final answer.
+    """Forward callers' requests, each to exactly one final answer.
 
     :param open_attempt: sends one attempt and returns the head of the answer.
-    :param request_grants: returns whether the rate limits of endpoints allow one request, of an
-        urgency of which the lowest goes first.
+    :param request_grants: returns whether the rate limits of endpoints admit one request of an
+        urgency; the lowest urgency goes first.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         self._longest_timeouts: dict[str, float] = {}
 
     async def forward(self, request: CallerRequest, sink: AnswerSink) -> Outcome:
-        """Answer a request; every way out gives exactly one final answer."""
+        """Answer a request with exactly one final answer, on every path."""
         progress = self._admit(request)
         if isinstance(progress, NotRun):
             await send_refusal(progress, sink)
@@ -142,8 +142,9 @@
         organisation, rank = None, rule.rank
         if table.keyed and not rule.public:
             if not self._proof.allows_keys():
-                # A key may have been taken away unseen; a request sent on would break that.
-                reason = f"configuration proved {self._proof.age:.2f} s ago"
+                # The key may have been revoked without this node knowing it; sending the request
+                # would violate the bound on revocation.
+                reason = f"configuration last verified {self._proof.age:.2f} s ago"
                 return NotRun("admit", reason, retry_after=0.3)
             caller = table.callers.get(request.key or "")
             if caller is None:
@@ -161,7 +162,7 @@
         return progress
 
     def _estimate_elapsed(self, rule: str, caller_timeout: float) -> float:
-        """Estimate the seconds since the caller's first attempt, from how long it will still wait.
+        """Estimate the seconds since the caller's first attempt from its remaining timeout.
 
         :param caller_timeout: seconds.
         """
@@ -179,17 +180,17 @@
             if isinstance(placed, Refused):
                 return give_up(progress, "place", placed, self._random)
             if not progress.is_probe and self._guard.find_quarantine(progress.content) is not None:
-                continue  # word of it came while the request waited for room
+                continue  # the update arrived while the request waited
             outcome = await self._attempt(progress, placed, sink)
             if outcome is not None:
                 return outcome
 
     async def _find_quarantine(self, progress: RequestProgress) -> Quarantine | None:
-        """Return why a request must not be sent, ``None`` if it may be.
+        """Return the quarantine that forbids sending a request, ``None`` if it may be sent.
 
-        A request that crashes each engine that begins it comes again under a new id, at any node.
-        Unless all tries of one content end together, it takes the fleet down and with it every
-        stream that runs there; refusing it after the third crash leaves the others to all callers.
+        A request that crashes each engine that begins it is repeated under new ids, at any node.
+        Unless the attempts of one content are limited together, it takes down the whole fleet and
+        every stream that runs there. Refusing it after the third crash preserves the other engines.
         """
         quarantine = self._guard.find_quarantine(progress.content)
         if quarantine is None:
@@ -200,12 +201,12 @@
         return None if progress.is_probe else quarantine
 
     def _refuse_quarantined(self, progress: RequestProgress, quarantine: Quarantine) -> Outcome:
-        """End a request whose content is held back; it is told when a trial is due."""
+        """End a request whose content is quarantined, with the time of the next probe."""
         self._guard.count_refusal(quarantine)
         retry_after = self._guard.measure_retry_after(quarantine)
         note(
             _LOG,
-            "request held back",
+            "quarantined request refused",
             request=progress.request.request_id,
             content=progress.content,
             crashes=quarantine.count,
@@ -214,16 +215,16 @@
             attempts=progress.attempts,
             retry_after=round(retry_after, 2),
         )
-        reason = f"{quarantine.count} endpoints fell under this request"
+        reason = f"{quarantine.count} endpoints failed while running this request"
         if progress.may_have_run or progress.stream.begun:
             return Unknown("hold", reason, progress.peer)
         return NotRun("hold", reason, retry_after=retry_after)
 
     async def _place(self, progress: RequestProgress) -> Placed | Refused:
         if progress.left < _MIN_TIME_LEFT_SECONDS:
-            return Refused("no time left", 0)
-        # An endpoint that failed used up the aim; the next gets one of its own, since an answer
-        # that comes late is better than a refusal while endpoints have room.
+            return Refused("not enough time left", 0)
+        # An endpoint that failed used up the objective. The next one gets a new objective, since a
+        # late answer is better than a refusal while endpoints have spare capacity.
         untried = progress.attempts == 0 and progress.not_sent == 0
         since = progress.request.arrived if untried else read_clock()
         placement = build_placement_request(progress, since)
@@ -238,7 +239,7 @@
     async def _attempt(
         self, progress: RequestProgress, placed: Placed, sink: AnswerSink
     ) -> Outcome | None:
-        """Send once; ``None`` means that another attempt may follow."""
+        """Send the request once; ``None`` means that another attempt may follow."""
         state = placed.state
         state.record_sent(read_clock())
         state.pop_idle_connection()
@@ -291,9 +292,9 @@
     def _find_at_fault(
         self, state: EndpointState, result: NotSent | Rejected | Lost
     ) -> list[EndpointState]:
-        """Return the endpoints at which a sending failed.
+        """Return the endpoints at which an attempt failed.
 
-        An engine of a chain names the one that refused; the others may take the request again.
+        An engine of a chain names the one that refused; the others can take the request again.
         """
         if isinstance(result, Rejected) and result.address is not None:
             return self._endpoints.find_by_address(result.address) or [state]
@@ -306,9 +307,9 @@
         result: NotSent | Rejected | Lost,
         at_fault: Sequence[EndpointState],
     ) -> None:
-        """Have the endpoints looked at that may have fallen under the request.
+        """Check the endpoints that may have failed while running the request.
 
-        In a chain the first engine answers for one that fell behind it.
+        In a chain the first engine reports the failure of one behind it.
         """
         if isinstance(result, Lost) and result.at_fault:
             self._record_loss(progress, placed, silent=result.silent)
@@ -344,16 +345,16 @@
                 return await self._open(attempt)
         except TimeoutError:
             if read_clock() >= progress.begin_by:
-                # Given up here, ahead of a version's deadline: the endpoint did nothing wrong.
-                # Put down to it, every engine was kept out for 1.5 s after each swap.
-                return Lost("not begun before the version is due", at_fault=False)
-            return Lost("no answer in time", silent=True)
+                # Cancelled ahead of a version's deadline, which is no fault of the endpoint.
+                # Counted as a failure, it excluded every engine for 1.5 s after each swap.
+                return Lost("request did not begin before the version deadline", at_fault=False)
+            return Lost("endpoint sent no response in time", silent=True)
 
     def _silence_timeout(self, progress: RequestProgress, left: float) -> float:
-        """Return how long an endpoint may stay silent before it is given up."""
+        """Return the seconds for which an endpoint may stay silent before it is given up."""
         if not progress.stream.begun:
-            # A request that waits at a slow endpoint would begin on a version past its deadline;
-            # given up before, its connection closes and the endpoint drops it.
+            # A request that waits at a slow endpoint would begin on a version past its deadline.
+            # Cancelling it earlier closes the connection, and the endpoint drops it.
             left = max(0.0, min(left, progress.begin_by - read_clock()))
         if not self._can_retry(progress, progress.attempts + 1):
             return left
@@ -380,7 +381,7 @@
         result: Rejected,
         at_fault: Sequence[EndpointState],
     ) -> Outcome | None:
-        """A rejected request has not run, so it may go elsewhere if the budget allows."""
+        """Retry a rejected request elsewhere if the budget allows; it has not run."""
         now = read_clock()
         self._endpoints.record_header_load(state, result.load, now)
         if result.named_limit is not None and not result.misdirected:
@@ -399,7 +400,7 @@
         if self._can_retry(progress, progress.attempts) and progress.left > _MIN_TIME_LEFT_SECONDS:
             if self._budget.withdraw(progress.service.name, read_clock()):
                 return None
-            reason = f"{reason}; no second try left in the budget"
+            reason = f"{reason}; retry budget exhausted"
         return Unknown(step, reason, progress.peer)
 
     async def _handle_reply(
@@ -410,7 +411,7 @@
         sink: AnswerSink,
         started: float,
     ) -> Outcome | None:
-        """Pass an answer on, or decide that it is none."""
+        """Forward an answer, or reject it as invalid."""
         state = placed.state
         progress.attempts += 1
         now = read_clock()
@@ -419,9 +420,9 @@
             self._endpoints.record_limit(state, reply.named_limit, limit_known=progress.limit_known)
         try:
             if not reply.genuine:
-                return self._discard_reply(progress, placed, "answer is not this request's")
+                return self._discard_reply(progress, placed, "response belongs to another request")
             if reply.status >= 500 and placed.chain:
-                self._record_loss(progress, placed, silent=True)  # it may answer for one behind it
+                self._record_loss(progress, placed, silent=True)  # perhaps of a later engine
             failed = reply.status >= 500 and self._can_retry(progress, progress.attempts)
             if failed and self._budget.withdraw(progress.service.name, now):
                 ATTEMPTS.labels("failed").inc()
@@ -431,8 +432,8 @@
                 return None
             streams = reply.is_stream and reply.status < 300
             if progress.stream.begun and not streams:
-                # A failure sent behind events of another engine would be bytes of no answer.
-                reason = f"status {reply.status} behind a begun stream"
+                # The body of an error response is not part of the stream of another engine.
+                reason = f"status {reply.status} after the stream had begun"
                 return self._discard_reply(progress, placed, reason)
             if streams:
                 return await self._relay_stream(progress, placed, reply, sink)
@@ -442,13 +443,13 @@
 
     @staticmethod
     async def _release_connection(state: EndpointState, reply: Reply) -> None:
-        """Leave the connection of a whole answer open for another request."""
+        """Keep the connection of a complete answer open for another request."""
         await reply.close(reusable=True)
         if not reply.leaving:
             state.push_idle_connection(read_clock())
 
     async def _drain(self, reply: Reply) -> None:
-        """Read a short answer to its end, so that its connection can be used again."""
+        """Read a short answer to its end, so that its connection can be reused."""
         try:
             async with asyncio.timeout(_DRAIN_SECONDS):
                 await reply.read_whole()
@@ -462,7 +463,7 @@
         ATTEMPTS.labels("broken").inc()
         note(
             _LOG,
-            "answer dropped",
+            "response discarded",
             request=progress.request.request_id,
             endpoint=progress.peer,
             reason=reason,
@@ -487,7 +488,7 @@
             self._record_loss(progress, placed, silent=True)
             return Unknown("read", "deadline passed", progress.peer)
         except ReplyBrokenError as error:
-            return self._discard_reply(progress, placed, f"answer broke off: {error}")
+            return self._discard_reply(progress, placed, f"response ended early: {error}")
         await self._release_connection(state, reply)
         self._endpoints.record_success(state)
         if reply.status < 500:
@@ -538,7 +539,7 @@
         return self._discard_reply(progress, placed, f"stream {end.value}", silent=stalled)
 
     def _record_first_event(self, progress: RequestProgress) -> None:
-        """Learn from first attempts only; others were late before they were sent."""
+        """Record first attempts only; a retried request was late before it was sent."""
         if not progress.elapsed and progress.attempts == 1:
             seconds = progress.stream.begun_at - progress.request.arrived
             in_time = seconds <= progress.rule.aim
--- a/packages/wrenloft-routing/tests/test_chains.py
+++ b/packages/wrenloft-routing/tests/test_chains.py
@@ -40,28 +40,28 @@
     """Tests for ``list_eligible``."""
 
     def test_engine_with_all_layers_serves_alone(self) -> None:
-        """No chain where none is needed."""
+        """No chain is built where none is needed."""
         (eligible,) = _list(_engine("a", WHOLE))
         assert eligible.chain == ()
 
     def test_complementary_engines_form_a_chain(self) -> None:
-        """After a loss of power each engine holds half of the layers at first."""
+        """After a power failure each engine holds half of the layers at first."""
         (eligible,) = _list(_engine("a", LOWER), _engine("b", UPPER))
         assert _name(eligible) == ["a", "b"]
 
     def test_versions_are_never_mixed_in_a_chain(self) -> None:
-        """One engine has gone on to the next version, the other has not.
+        """Guards against tokens computed with mixed weights.
 
-        A chain of both would make tokens with mixed weights; rather nobody takes the request.
+        One engine has swapped to the next version, the other has not; neither takes the request.
         """
         assert _list(_engine("a", LOWER, 1), _engine("b", UPPER, 2)) == []
 
     def test_incomplete_layers_serve_nothing(self) -> None:
-        """Half a model cannot answer."""
+        """Half a model can't answer."""
         assert _list(_engine("a", LOWER), _engine("b", LOWER), _engine("c", None)) == []
 
     def test_required_version_excludes_older_engines(self) -> None:
-        """Whole or in chains, only engines of the required version are left."""
+        """Alone or in chains, only engines of the required version are eligible."""
         states = [_engine("a", WHOLE, 1), _engine("b", LOWER, 2), _engine("c", UPPER, 2)]
         (eligible,) = _list(*states, required=2)
         assert _name(eligible) == ["b", "c"]
--- a/packages/wrenloft-routing/tests/test_forward.py
+++ b/packages/wrenloft-routing/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""Tests of one request's way through refusals, losses and repeats."""
+"""Tests of forwarding one request through refusals, losses and retries."""
 
 import asyncio
 import time
@@ -81,7 +81,7 @@
 
 @dataclass
 class FakeReply:
-    """An answer made of parts; an exception among them is raised there."""
+    """An answer made of parts; an exception among them is raised in its place."""
 
     parts: list[bytes | Exception | float]
     status: int = 200
@@ -146,9 +146,9 @@
 
 @dataclass
 class FakeStore:
-    """Grants or refuses trials as a test says.
+    """A quarantine store that grants or refuses probes as a test says.
 
-    :param kept: what was to be kept and dropped, in order.
+    :param kept: calls of ``keep`` and ``drop``, in order.
     """
 
     grants: bool = False
@@ -253,7 +253,7 @@
         return True
 
     def exhaust_limits(self, *numbers: int, turn: float = 60.0) -> None:
-        """Have plain endpoints name a rate limit that is used up."""
+        """Let plain endpoints name a rate limit that is used up."""
         self.turn = turn
         for number in numbers:
             state = self.endpoints.get(AgentId(f"{PLAIN}-{number}"))
@@ -303,7 +303,7 @@
 
 
 class TestAdmission:
-    """Tests of what the configuration decides."""
+    """Tests of admission by the configuration."""
 
     @pytest.mark.parametrize(
         ("rule", "key", "status"), [("none", "key", 404), ("safe", "old", 401), ("safe", None, 401)]
@@ -311,14 +311,14 @@
     async def test_unknown_rule_and_key_are_refused(
         self, rule: str, key: str | None, status: int
     ) -> None:
-        """The caller learns what is wrong, and nothing is sent."""
+        """The caller learns the reason, and nothing is sent."""
         harness = Harness()
         await harness.send(rule, key=key)
         assert harness.sink.status == status
         assert not harness.attempts
 
     async def test_missing_configuration_refuses_temporarily(self) -> None:
-        """A node that has just started knows no rule; 404 would deny what is allowed."""
+        """A node that has just started knows no rule; 404 would deny an allowed request."""
         harness = Harness()
         harness.forwarder.table = None
         await harness.send("safe")
@@ -326,9 +326,9 @@
         assert float(harness.sink.headers["Retry-After"]) > 0
 
     async def test_stale_configuration_refuses_keys_but_serves_public_rules(self) -> None:
-        """A key may have been taken away unseen; who needs no key is served all the same.
+        """A key may have been revoked unnoticed; rules without keys are still served.
 
-        The store has turned this node away for longer than keys may outlive their removal.
+        The node has not reached the store for longer than keys may outlive their removal.
         """
         harness = Harness(FakeReply([b"ok"]))
         harness.forwarder._proof = FreshnessProof(5.0)
@@ -342,7 +342,7 @@
 
 @pytest.fixture
 def waits(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Note each wait for room, by the service that it is for."""
+    """Record the service of each wait for spare capacity."""
     noted: list[str] = []
 
     async def wait(changed: asyncio.Event, request: PlacementRequest) -> None:
@@ -357,20 +357,20 @@
     """Tests of requests to endpoints that name a rate limit."""
 
     async def test_every_attempt_requests_a_grant(self) -> None:
-        """Guards against second tries that pass by the limit."""
+        """Guards against retries that bypass the limit."""
         harness = Harness(Lost("reset"), FakeReply([b"ok"]))
         await harness.send("safe")
         assert len(harness.attempts) == len(harness.grant_requests) == 2
 
     async def test_resumed_stream_requests_a_grant(self) -> None:
-        """Guards against resumed streams that pass by the limit."""
+        """Guards against resumed streams that bypass the limit."""
         broken = FakeReply([_events(0), ReplyBrokenError("cut")], is_stream=True)
         harness = Harness(broken, FakeReply([_events(1)], is_stream=True))
         await harness.send("stream")
         assert len(harness.attempts) == len(harness.grant_requests) == 2
 
     async def test_chain_requests_grants_for_all_its_engines(self) -> None:
-        """Guards against an engine in need that is reached behind another one."""
+        """Guards against reaching an overloaded engine through another one."""
         harness = Harness(FakeReply([_events(0)], is_stream=True))
         harness.set_spans({0: LayerSpan(0, 8), 1: LayerSpan(8, 16), 2: LayerSpan(8, 8)})
         await harness.send("stream")
@@ -379,7 +379,7 @@
     async def test_request_moves_to_an_endpoint_with_capacity_at_once(
         self, waits: list[str]
     ) -> None:
-        """Guards against waiting for an endpoint in need while others are idle."""
+        """Guards against waiting for an overloaded endpoint while others are idle."""
         harness = Harness(*(FakeReply([b"ok"]) for _ in range(10)))
         harness.exhaust_limits(0, 1)
         for _ in range(10):
@@ -387,16 +387,16 @@
             await harness.send("safe")
         assert harness.sink.status == 200
         assert {each.endpoint.agent_id for each in harness.attempts} == {f"{PLAIN}-2"}
-        assert len(harness.grant_requests) <= 12  # each of the two is asked once
+        assert len(harness.grant_requests) <= 12  # each of the two denies one grant
         assert not waits
 
     async def test_request_without_a_timely_turn_is_refused_at_once(self, waits: list[str]) -> None:
-        """Guards against callers that wait for what endpoints in need will never take."""
+        """Guards against callers that wait for overloaded endpoints until they time out."""
         harness = Harness()
         harness.exhaust_limits(0, 1, 2)
         outcome = await harness.send("safe")
         assert isinstance(outcome, NotRun)
-        assert outcome.reason.startswith("rate limits leave room in")
+        assert outcome.reason.startswith("rate limits allow a request in")
         assert harness.sink.status == 503
         assert float(harness.sink.headers["Retry-After"]) > 0
         assert not waits
@@ -414,7 +414,7 @@
             harness.sink = FakeSink()
             outcome = await harness.send(rule)
             assert isinstance(outcome, NotRun)
-            assert outcome.reason.startswith("rate limits leave room in")
+            assert outcome.reason.startswith("rate limits allow a request in")
             assert len(harness.grant_requests) == MAX_DENIALS
 
     async def test_denied_request_uses_an_unlimited_endpoint(self) -> None:
@@ -432,7 +432,7 @@
     async def test_overdue_request_does_not_wait_where_fresh_ones_are_refused(
         self, waits: list[str]
     ) -> None:
-        """Guards against callers that come back and wait for room that others take."""
+        """Guards against overdue requests that wait for capacity that fresh ones use."""
         harness = Harness()
         harness.exhaust_limits(0, 1, 2, turn=0.3)
         await harness.send("safe", patience=2.0)
@@ -467,7 +467,7 @@
         assert harness.sink.status == 200
 
     async def test_denied_urgent_request_is_refused(self) -> None:
-        """Guards against urgent requests that ask without end."""
+        """Guards against urgent requests that request grants without end."""
         harness = Harness()
         harness.exhaust_limits(0, 1, 2)
         await harness.send("safe")
@@ -477,7 +477,7 @@
         assert [rank for _, rank in harness.grant_requests].count(0) == 3
 
     async def test_ended_limits_admit_requests_at_once(self) -> None:
-        """Guards against endpoints that stay passed over after their limit has ended."""
+        """Guards against endpoints that stay excluded after their limit has ended."""
         harness = Harness(FakeReply([b"ok"]))
         harness.exhaust_limits(0, 1, 2)
         await harness.send("safe")
@@ -507,7 +507,7 @@
 
 
 class TestWholeAnswers:
-    """Tests of answers that are passed on whole."""
+    """Tests of answers that are forwarded whole."""
 
     async def test_answer_is_forwarded(self) -> None:
         """Status, headers and body are the endpoint's, and the connection is kept."""
@@ -521,9 +521,9 @@
     @pytest.mark.parametrize("rule", ["once", "unsafe"])
     @pytest.mark.parametrize("bad", ["lost", "foreign", "cut"])
     async def test_unsafe_request_is_never_repeated(self, bad: str, rule: str) -> None:
-        """The caller gets 502, which promises nothing: the request may have run.
+        """The caller gets 502, since the request may have run.
 
-        So it is also where the rule allows two endpoints; the second is for requests that the
+        This holds also where the rule allows two endpoints: the second is for requests that the
         first one rejected.
         """
         outcomes = {
@@ -537,21 +537,21 @@
         assert len(harness.attempts) == 1
 
     async def test_rejected_unsafe_request_is_reported_as_not_run(self) -> None:
-        """The endpoint's own proof allows 503, with a time to come back."""
+        """The endpoint's own rejection allows 503, with a time to come back."""
         harness = Harness(Rejected("full", misdirected=False))
         assert isinstance(await harness.send("once"), NotRun)
         assert harness.sink.status == 503
         assert "Retry-After" in harness.sink.headers
 
     async def test_unsent_unsafe_request_is_sent_elsewhere(self) -> None:
-        """A connection that was never made proves that nothing ran."""
+        """A connection that was never established proves that nothing ran."""
         harness = Harness(NotSent("refused"), FakeReply([b"ok"]))
         assert isinstance(await harness.send("once"), Done)
         assert harness.attempts[0].endpoint != harness.attempts[1].endpoint
 
     @pytest.mark.parametrize("bad", ["lost", "foreign", "cut", "failed"])
     async def test_safe_request_is_repeated_at_another_endpoint(self, bad: str) -> None:
-        """One spoilt, lost or failed answer does not reach the caller of a safe request."""
+        """An invalid, lost or failed answer is not visible to the caller of a safe request."""
         outcomes = {
             "lost": Lost("reset"),
             "foreign": FakeReply([b"x"], genuine=False),
@@ -564,16 +564,17 @@
         assert harness.attempts[0].endpoint != harness.attempts[1].endpoint
 
     async def test_attempts_are_limited(self) -> None:
-        """A rule's number of endpoints holds also when all lose the request."""
+        """A rule's maximum of endpoints also holds when all lose the request."""
         harness = Harness(Lost("reset"), Lost("reset"), FakeReply([b"ok"]))
         await harness.send("safe")
         assert harness.sink.status == 502
         assert len(harness.attempts) == 2
 
     async def test_empty_retry_budget_allows_no_retry(self) -> None:
-        """Under a fault that fails everything, second tries stop when the budget is used up.
+        """Guards against retry storms when every request fails.
 
-        Without slack an account begins with one second try, and three requests earn none.
+        Without slack an account begins with one retry, and three requests deposit less than
+        another.
         """
         harness = Harness(*[Lost("reset")] * 4, slack=0.0)
         for _ in range(3):
@@ -582,7 +583,7 @@
         assert len(harness.attempts) == 4
 
     async def test_silent_endpoint_leaves_time_for_another(self) -> None:
-        """A safe request is tried elsewhere while its caller still waits.
+        """Guards against waiting for a silent endpoint until the caller times out.
 
         The first endpoint takes the request and never answers.
         """
@@ -594,7 +595,7 @@
         assert isinstance(await harness.send("safe"), Done)
 
     async def test_silent_unsafe_request_ends_at_its_deadline(self) -> None:
-        """Nobody may repeat it: the caller gets 504 when its time is up, and not later."""
+        """Retrying is not allowed: the caller gets 504 at its deadline, and not later."""
         harness = Harness(5.0)
         await harness.send("once", patience=0.2)
         assert harness.sink.status == 504
@@ -618,10 +619,10 @@
         assert harness.sink.ended
 
     async def test_broken_stream_resumes_after_its_last_event(self) -> None:
-        """The caller sees one unbroken stream, each event once.
+        """The caller sees one continuous stream, with each event once.
 
-        The first endpoint stops in the middle of event 2; what came of it is dropped, and the
-        second endpoint is asked to go on after event 1.
+        The first endpoint stops in the middle of event 2. The partial event is dropped, and the
+        second endpoint resumes after event 1.
         """
         torn = _events(2)[:-4]
         harness = Harness(
@@ -633,7 +634,7 @@
         assert harness.attempts[1].last_event == 1
 
     async def test_stalled_stream_resumes_elsewhere(self) -> None:
-        """Silence longer than the pauses allowed is not borne while another can go on."""
+        """A pause longer than allowed ends the attempt while another endpoint can resume."""
         harness = Harness(
             FakeReply([_events(0), 5.0], is_stream=True), FakeReply([_events(1)], is_stream=True)
         )
@@ -642,7 +643,7 @@
 
     @pytest.mark.parametrize("numbers", [(3,), (1,), (0, 2)])
     async def test_wrong_continuation_is_rejected(self, numbers: tuple[int, ...]) -> None:
-        """A gap or a doubled event ends the stream visibly broken, not complete."""
+        """A gap or a repeated event ends the stream as broken, not complete."""
         harness = Harness(
             FakeReply([_events(0, 1), ReplyBrokenError("cut")], is_stream=True),
             FakeReply([_events(*numbers)], is_stream=True),
@@ -653,10 +654,11 @@
         assert not harness.sink.ended
 
     async def test_stream_that_cannot_resume_elsewhere_is_aborted(self) -> None:
-        """A stream breaks off, the engine that should go on refuses, and no further try is allowed.
+        """Guards against a second answer or "not run" after a stream has begun.
 
-        Its caller has had a whole head and an event: a second answer behind them, or a word that
-        nothing has run, would be false. The connection ends, and cannot be taken for complete.
+        The stream breaks, the engine that should resume it refuses, and no further attempt is
+        allowed. The caller has a head and an event, so the connection is aborted and can't be taken
+        for complete.
         """
         harness = Harness(
             FakeReply([_events(0), ReplyBrokenError("cut")], is_stream=True),
@@ -667,10 +669,10 @@
         assert harness.sink.aborted and not harness.sink.ended
 
     async def test_error_response_is_not_appended_to_a_begun_stream(self) -> None:
-        """A stream breaks off, goes on at another engine, and that one answers 500.
+        """Guards against the body of an error response behind the events of a stream.
 
-        No further try is allowed. Its caller has a head and an event: the 500 behind them would be
-        bytes that are no answer. The connection ends, and cannot be taken for complete.
+        The stream breaks, another engine answers the resumed request with 500, and no further
+        attempt is allowed. The connection is aborted and can't be taken for complete.
         """
         harness = Harness(
             FakeReply([_events(0), ReplyBrokenError("cut")], is_stream=True),
@@ -682,9 +684,9 @@
         assert harness.sink.status == 200
 
     def test_begun_answer_is_never_reported_as_not_run(self) -> None:
-        """Whatever way leads there, a caller with part of an answer is not told that nothing ran.
+        """A caller with part of an answer is never told that nothing ran.
 
-        A refusal would be written behind the head and events that it has.
+        A refusal would be written behind the head and the events that it has.
         """
         rule = TABLE.rules[4]
         service = TABLE.services[ENGINES]
@@ -703,13 +705,13 @@
         assert len(harness.attempts) == 1
 
     async def test_stream_ending_in_a_partial_event_is_aborted(self) -> None:
-        """An endpoint that ends cleanly in mid-event has not ended its stream."""
+        """An endpoint that closes the connection within an event has not ended its stream."""
         harness = Harness(FakeReply([_events(0), b"id: 1\nda"], is_stream=True))
         await harness.send("fixed")
         assert harness.sink.aborted
 
     async def test_stream_ends_at_the_deadline(self) -> None:
-        """A stream still running when the caller's time is up is cut and its work ended."""
+        """A stream that still runs at the deadline is cut and its work ended."""
         reply = FakeReply([_events(0), 5.0], is_stream=True)
         harness = Harness(reply)
         await harness.send("fixed", patience=0.2)
@@ -717,7 +719,7 @@
         assert reply.closed == [False]
 
     async def test_attempt_without_a_first_event_is_retried_elsewhere(self) -> None:
-        """Until the first event nothing was sent to the caller, so another may answer."""
+        """Nothing is sent to the caller before the first event, so another endpoint may answer."""
         harness = Harness(
             FakeReply([ReplyBrokenError("cut")], is_stream=True),
             FakeReply([_events(0)], is_stream=True),
@@ -730,9 +732,9 @@
     """Tests of streams whose endpoint can't be reached."""
 
     async def test_slow_connect_failure_is_not_treated_as_overload(self) -> None:
-        """A dark endpoint used up the aim; the others are idle, and the caller is served.
+        """Guards against refusing a request whose failed connection used up the objective.
 
-        The connection attempt takes longer than the whole aim.
+        The connection attempt takes longer than the whole objective; the other endpoints are idle.
         """
 
         def fail_late() -> NotSent:
@@ -757,8 +759,8 @@
     async def test_waiting_request_is_cancelled_before_a_version_is_due(self) -> None:
         """A request waits at a slow endpoint until the version there is past its deadline.
 
-        Its connection is closed before, so that the endpoint drops it and never begins. The
-        caller's own time is not up then, so it gets 502 and not 504.
+        Its connection is closed earlier, so that the endpoint drops it and never begins. The caller
+        has not timed out then, so it gets 502 and not 504.
         """
         reply = FakeReply([5.0], is_stream=True)
         harness = Harness(reply)
@@ -768,11 +770,10 @@
         assert harness.sink.status == 502
 
     async def test_version_deadline_is_not_counted_as_an_engine_failure(self) -> None:
-        """A request waits at an engine that goes on to a version, until it may not begin any more.
+        """Guards against counting a request that missed a version's deadline as an engine failure.
 
-        Given up here for that, it says nothing of the engine. Taken for failures, such requests
-        kept all engines out for 1.5 s and longer after each swap, and callers were refused beside
-        idle engines.
+        Counted as failures, such requests excluded all engines for 1.5 s and longer after each
+        swap, and callers were refused while engines were idle.
         """
         harness = Harness(5.0)
         harness.gate.announce_version(MODEL, WantedVersion(2, read_clock() - 7.4))
@@ -781,9 +782,10 @@
         assert not any(state.failures for state in states)
 
     async def test_later_version_does_not_postpone_an_earlier_deadline(self) -> None:
-        """Version 3 is named two seconds after 2; version 2 stays due when it was.
+        """Version 3 is announced two seconds after 2; the deadline of version 2 stays.
 
-        With one deadline for the newest only, requests began on version 1 long after 2 was due.
+        With one deadline for the newest version only, requests began on version 1 long after 2 was
+        due.
         """
         harness = Harness()
         harness.gate.announce_version(MODEL, WantedVersion(2, read_clock() - 7.5))
@@ -796,10 +798,10 @@
     """Tests of requests that go through several engines."""
 
     async def test_refusal_excludes_only_the_engine_at_fault(self) -> None:
-        """The second engine of a chain has just given up its layers, and the first says so.
+        """The second engine of a chain has just dropped its layers, and the first reports it.
 
         The caller is answered by a chain of the first with another; only the engine at fault is
-        passed over.
+        excluded.
         """
         harness = Harness(
             lambda: Rejected("status 421", misdirected=True, address=_last_address(harness)),
@@ -822,9 +824,9 @@
 class TestQuarantinedContent:
     """Tests of requests whose content crashes the endpoints that begin it.
 
-    Callers see streams break off whenever such a request is tried, and refusals while engines are
-    away: it is repeated under new ids, and each node tries each repeat twice. After the third
-    crash, as any node saw it, repeats are answered without being sent.
+    Such a request is repeated under new ids, and each node tries each repeat twice, so that streams
+    of other callers break and requests are refused while engines restart. After the third crash, as
+    observed by any node, repeats are answered without being sent.
     """
 
     def _crash(self, harness: Harness, *names: str, age: float = 0.0) -> ContentId:
@@ -835,20 +837,20 @@
         return content
 
     async def test_repeat_is_refused_at_once_as_not_run(self) -> None:
-        """The caller learns when a trial is due; nothing is sent, and nobody else notices."""
+        """The caller learns the time of the next probe; other requests are not affected."""
         harness = Harness(FakeReply([b"other"]))
         self._crash(harness, "a", "b", "c")
         outcome = await harness.send("safe")
         assert isinstance(outcome, NotRun)
         assert (harness.sink.status, harness.attempts) == (503, [])
-        assert harness.sink.body.startswith(b"hold: 3 endpoints fell under this request")
+        assert harness.sink.body.startswith(b"hold: 3 endpoints failed while running this request")
         assert 55.0 < float(harness.sink.headers["Retry-After"]) <= 60.0
         harness.sink = FakeSink()
         await harness.send("safe", body=b"x", body_digest=b"x")
         assert harness.sink.body == b"other"
 
     async def test_request_that_may_have_run_is_not_reported_as_not_run(self) -> None:
-        """Its own first try was the third crash: 502 at once, without a second try."""
+        """Its own first attempt was the third crash: 502 at once, without a retry."""
         harness = Harness()
         content = self._crash(harness, "a", "b")
 
@@ -863,7 +865,7 @@
         assert len(harness.attempts) == 1
 
     async def test_crash_update_stops_a_waiting_repeat(self) -> None:
-        """It had been taken before the third crash, and would have been sent after it."""
+        """Guards against sending a request that was admitted before the third crash."""
         harness = Harness(FakeReply([b"ok"]))
         rule = _rule("safe", RuleKind.SAFE, PLAIN, aim=4.0, timeout=4.0)
         harness.forwarder.table = replace(TABLE, rules=(rule,))
@@ -878,7 +880,7 @@
         assert not harness.attempts
 
     async def test_lost_answers_of_failed_endpoints_are_counted(self) -> None:
-        """Three endpoints fall one after the other, each under the only request that it had."""
+        """Three endpoints fail one after the other, each with a single request in progress."""
         harness = Harness(*[Lost("reset")] * 3)
         harness.liveness = Liveness.REFUSED
         listed = [each.endpoint for each in harness.endpoints.of_service(PLAIN)]
@@ -893,7 +895,7 @@
         assert len(harness.attempts) == 3
 
     async def test_reset_connections_cause_no_quarantine(self) -> None:
-        """Endpoints answer when they are asked: they lost connections and nothing else."""
+        """The endpoints answer a probe: they lost connections and did not fail."""
         harness = Harness(*[Lost("reset")] * 6, FakeReply([b"ok"]))
         for _ in range(3):
             harness.sink = FakeSink()
@@ -904,7 +906,7 @@
         assert harness.sink.status == 200
 
     async def test_successful_probe_ends_the_quarantine(self) -> None:
-        """A content that was held back wrongly is found out by one request a minute."""
+        """A content quarantined by mistake is detected by one request a minute."""
         harness = Harness(FakeReply([b"ok"]), FakeReply([b"ok"]))
         self._crash(harness, "a", "b", "c", age=61.0)
         harness.store.grants = True
@@ -916,7 +918,7 @@
         assert harness.store.claims == 1
 
     async def test_error_response_to_a_probe_is_forwarded(self) -> None:
-        """The endpoint answered 500 and lives; its answer is ready, and no second try is due."""
+        """The endpoint answered 500 and is alive; no retry is due."""
         harness = Harness(FakeReply([b"no"], status=500))
         self._crash(harness, "a", "b", "c", age=61.0)
         harness.store.grants = True
@@ -924,7 +926,7 @@
         assert (harness.sink.status, harness.sink.body) == (500, b"no")
 
     async def test_lost_probe_is_not_retried(self) -> None:
-        """A trial may cost one engine, not two."""
+        """Guards against a probe that costs two engines."""
         harness = Harness(Lost("reset"))
         self._crash(harness, "a", "b", "c", age=61.0)
         harness.store.grants = True
@@ -934,7 +936,7 @@
         assert isinstance(await harness.send("safe"), NotRun)
 
     async def test_stream_cut_short_by_a_crash_counts(self) -> None:
-        """The first event had come before the engine fell; nothing goes on elsewhere after it."""
+        """The engine fails after the first event, and the resumed stream fails too."""
         harness = Harness(
             FakeReply([_events(0), ReplyBrokenError("reset")], is_stream=True),
             FakeReply([_events(1), ReplyBrokenError("reset")], is_stream=True),
@@ -946,7 +948,7 @@
         assert len(harness.crashes.list_crash_times(content)) == 2
 
     async def test_crash_of_a_later_engine_in_a_chain_counts(self) -> None:
-        """The first engine says that the second fell; the request went through both."""
+        """The first engine reports a failure of the second; the request went through both."""
         harness = Harness(
             Rejected("status 503", False, address="a1:1"), Rejected("status 503", False)
         )
@@ -958,7 +960,7 @@
         assert len(harness.crashes.list_crash_times(content)) >= 1
 
     async def test_request_at_an_unreachable_endpoint_is_counted_before_its_deadline(self) -> None:
-        """The endpoint crashes and says nothing; the next caller's connection there fails."""
+        """The endpoint crashes silently; the next caller's connection there fails."""
         harness = Harness(0.5, NotSent("refused"))
         harness.liveness = Liveness.REFUSED
         endpoint = harness.endpoints.of_service(PLAIN)[0].endpoint
@@ -974,7 +976,7 @@
         assert first.status == 502
 
     async def test_bad_gateway_from_a_chain_checks_all_its_engines(self) -> None:
-        """The first engine of a chain fell silent on the second and answers 502 for it."""
+        """The first engine of a chain got no answer from the second and answers 502 for it."""
         harness = Harness(FakeReply([b"no"], status=502), FakeReply([b"no"], status=502))
         harness.set_spans({0: LayerSpan(0, 8), 1: LayerSpan(8, 16), 2: LayerSpan(0, 0)})
         harness.liveness = Liveness.REFUSED
