--- a/packages/wrenloft-routing/src/wrenloft_routing/_request_log.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_request_log.py
@@ -1,4 +1,4 @@
-"""What is counted and logged of each request."""
+"""Metrics and log lines of each request."""
 
 import logging
 
@@ -12,7 +12,7 @@
 _LOG = logging.getLogger(__name__)
 
 RATE_WINDOW_SECONDS = 4.0
-"""For which a log line tells how many requests this node has sent to the endpoint."""
+"""Window of the count of requests sent to the endpoint, in log lines."""
 
 REQUESTS = Counter("wrenloft_routing_requests", "Requests by outcome", ["kind", "outcome"])
 REQUEST_SECONDS = Histogram(
@@ -39,11 +39,11 @@
     proof_age: float,
     rate_limit: float | None,
 ) -> None:
-    """Log that a request is sent, and what that was decided from.
+    """Log that a request is sent, and the basis of that decision.
 
     :param revision: of the configuration in force.
-    :param proof_age: seconds since that was shown to be the newest.
-    :param rate_limit: of the endpoint, in requests a second, as this node knows it.
+    :param proof_age: seconds since that was verified to be the newest.
+    :param rate_limit: of the endpoint, in requests per second, as known to this node.
     """
     state = placed.state
     now = read_clock()
@@ -72,7 +72,7 @@
 def record_outcome(
     request: CallerRequest, kind: str, outcome: Outcome, progress: RequestProgress | None
 ) -> None:
-    """Count and log how a request ended.
+    """Count and log the outcome of a request.
 
     :param progress: ``None`` if it was not admitted.
     """
--- a/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
@@ -1,4 +1,4 @@
-"""What has happened to one caller's request so far."""
+"""The state of one caller's request."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """What has happened to one request so far."""
+    """The state of one request."""
 
     request: CallerRequest
     rule: Rule
@@ -43,7 +43,7 @@
 
 
 def build_placement_request(progress: RequestProgress, since: float) -> PlacementRequest:
-    """Return what the request asks of the gate.
+    """Return the placement request for the gate.
 
     :param since: when it began to wait.
     """
