--- a/packages/wrenloft-routing/src/wrenloft_routing/_budget.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_budget.py
@@ -1,13 +1,13 @@
-"""This node's part of the budget for second tries that all nodes share."""
+"""This node's part of the retry budget that all nodes share."""
 
 from wrenloft_core import ServiceName
 
 SLACK_SHARE = 0.6
-"""Part of the shared allowance that is given out; the rest covers nodes not yet known of and
-refusals at endpoints, which count as tries too but are noticed only when they have happened."""
+"""Share of the slack that is distributed. The rest covers unknown nodes and rejections by
+endpoints, which count as retries but are noticed only afterwards."""
 
 RATIO_SHARE = 0.7
-"""Part of the ratio that is used: requests are counted over a longer time than tries."""
+"""Share of the ratio that is used, since requests are counted over a longer window than retries."""
 
 
 class _Account:
@@ -19,13 +19,14 @@
 
 
 class SharedRetryBudget:
-    """Second tries allowed at this node, by service, without a call per request.
+    """Retries allowed at this node, by service, without a call per request.
 
     Each node takes the part that it would have if all known entry nodes were live, refilled over
-    the budget's window; a node that knows of few others takes the smallest part it can be owed.
+    the budget's window. A node that knows of few others takes the smallest part that it can be
+    entitled to.
 
-    :param ratio: second tries allowed for each request.
-    :param slack: second tries allowed in each window whatever the requests, all nodes together.
+    :param ratio: retries allowed per request.
+    :param slack: retries allowed in each window in addition, at all nodes together.
     :param window: seconds.
     :param nodes: entry nodes that share it.
     """
@@ -48,11 +49,11 @@
         return account
 
     def deposit(self, service: ServiceName, now: float) -> None:
-        """Count one request for a service."""
+        """Deposit the share of one request for a service."""
         self._account(service, now).tokens += self._ratio
 
     def withdraw(self, service: ServiceName, now: float) -> bool:
-        """Take one second try, if there is one left."""
+        """Withdraw one retry; return whether there was one left."""
         account = self._account(service, now)
         if account.tokens < 1.0:
             return False
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
@@ -1,4 +1,4 @@
-"""How a request ends that no endpoint answered."""
+"""Final answers of requests that no endpoint answered."""
 
 from random import Random
 
@@ -10,11 +10,11 @@
 from wrenloft_routing._request_progress import RequestProgress
 
 _CONNECT_RETRY_SECONDS = 0.03
-"""When a caller should come back whose request was rejected by an endpoint that others replace."""
+"""Retry-After seconds of a request whose connection or rejection concerns a single endpoint."""
 
 
 def give_up(progress: RequestProgress, step: str, refused: Refused, random: Random) -> Outcome:
-    """End a request that nobody runs; say "not run" only if that is certain."""
+    """End a request without an answer; it is "not run" only if that is certain."""
     if progress.may_have_run or progress.stream.begun:
         return Unknown(step, refused.reason, progress.peer)
     if refused.turn is not None:
@@ -34,7 +34,7 @@
 
 
 async def send_refusal(outcome: NotRun, sink: AnswerSink) -> None:
-    """Tell a caller that its request has not run, and when to come back."""
+    """Tell a caller that its request has not run, and when to retry."""
     headers: Headers = (("Content-Type", "text/plain"),)
     if outcome.retry_after is not None:
         headers += (("Retry-After", f"{outcome.retry_after:.3f}"),)
@@ -43,7 +43,7 @@
 
 
 async def send_failure(progress: RequestProgress, outcome: Unknown, sink: AnswerSink) -> None:
-    """Tell a caller that nobody knows whether its request has run, or break its answer off."""
+    """Tell a caller that its request may have run, or abort an answer that has begun."""
     if progress.stream.begun:
         sink.abort()
         return
