--- a/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
@@ -1,4 +1,4 @@
-"""Engines that can take a request now: alone, or in a chain that together holds every layer."""
+"""Engines that can take a request: alone, or in a chain that together holds every layer."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -40,10 +40,10 @@
 ) -> list[Eligible]:
     """Return the endpoints that can take a request of a service.
 
-    Chains that cross regions are named only if nothing else can take it: a token crosses at
-    every step.
+    Chains that cross regions are returned only if nothing else can take it, since each token
+    crosses between regions at every step.
 
-    :param states: endpoints that are not kept out for another reason.
+    :param states: endpoints that are not excluded for another reason.
     :param required: the oldest version on which a request may begin.
     """
     if service.model is None:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
@@ -1,4 +1,4 @@
-"""What the forwarder needs of a caller's connection and of a connection to an endpoint."""
+"""The forwarder's interfaces to a caller's connection and to connections to endpoints."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
     """One caller's request as it was read.
 
     :param target: path and query exactly as sent.
-    :param headers: those that go on to the endpoint, as sent.
-    :param key: the caller's key, if one came.
-    :param patience: seconds that the caller will wait, ``None`` if it did not say.
-    :param prompt_tokens: tokens to be read, 0 if it did not say.
+    :param headers: those that are forwarded to the endpoint, as sent.
+    :param key: the caller's key, if it sent one.
+    :param patience: the caller timeout in seconds, ``None`` if not stated.
+    :param prompt_tokens: tokens of the prompt, 0 if not stated.
     :param last_event: id of the last event that the caller has of an earlier stream.
-    :param body_digest: of the body, taken as it arrived.
+    :param body_digest: of the body, computed as it arrived.
     :param arrived: time of arrival on :func:`wrenloft_core.read_clock`.
     """
 
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One sending of a request to one endpoint.
+    """One attempt to send a request to one endpoint.
 
     :param left: seconds that the endpoint may take.
     :param organisation: whose key the caller has, ``None`` if the rule needs none.
     :param version: the only version of weights on which it may run, ``None`` for any.
     :param chain: the engines that it goes through, empty if the endpoint alone suffices.
-    :param urgency: before which others an engine takes it into its batch; 0 goes first.
+    :param urgency: the order in which an engine takes requests into its batch; 0 goes first.
     """
 
     request: CallerRequest
@@ -71,9 +71,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The endpoint said that the request did not run.
+    """The endpoint stated that the request did not run.
 
-    :param misdirected: whether it is not the endpoint, or not the version, that was meant.
+    :param misdirected: whether the endpoint, or its version, is not the one that was addressed.
     :param address: of the engine of a chain at which it failed, ``None`` for the first.
     :param named_limit: the rate limit that the endpoint named, ``None`` if it named none.
     """
@@ -87,10 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The request was sent, and what became of it is not known.
+    """The request was sent, and it is unknown whether it ran.
 
-    :param at_fault: whether that speaks against the endpoint.
-    :param silent: whether it was noticed by silence, and so perhaps long after it happened.
+    :param at_fault: whether the endpoint counts as failed.
+    :param silent: whether it was detected by a timeout, and so perhaps long after the failure.
     """
 
     reason: str
@@ -103,9 +103,9 @@
 
 
 class Reply(Protocol):
-    """The head of an endpoint's answer, with its body still to come.
+    """The head of an endpoint's answer, with its body still to be read.
 
-    ``genuine`` tells whether it is the endpoint's answer to this request.
+    ``genuine`` is whether it is the endpoint's answer to this request.
     """
 
     status: int
@@ -129,7 +129,7 @@
         """
 
     async def close(self, *, reusable: bool) -> None:
-        """Give the connection back, or close it, which ends the work at the endpoint."""
+        """Release the connection for reuse, or close it, which ends the work at the endpoint."""
 
 
 OpenAttempt = Callable[[Attempt], Awaitable[Reply | NotSent | Rejected | Lost]]
@@ -151,4 +151,4 @@
         """End a streamed answer as complete."""
 
     def abort(self) -> None:
-        """Break off a streamed answer so that it can't look complete."""
+        """Abort a streamed answer, so that it can't be taken for complete."""
