--- a/packages/wrenloft-routing/src/wrenloft_routing/_events.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_events.py
@@ -1,4 +1,4 @@
-"""Cutting an event stream into whole events, and checking their order."""
+"""Splitting of event streams into whole events."""
 
 from dataclasses import dataclass
 
@@ -8,17 +8,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event as it came, with its id if it has one."""
+    """One whole event as received, with its id if it has one."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events.
+    """Buffer bytes and return whole events.
 
-    Only whole events are passed on: an endpoint may stop in the middle of one, and its rest
-    would be joined to the first event of the endpoint that goes on.
+    Only whole events are forwarded: an endpoint may stop within one, and the rest would be joined
+    to the first event of the endpoint that resumes the stream.
     """
 
     def __init__(self) -> None:
@@ -26,11 +26,11 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether part of an event is left."""
+        """Whether part of an event is buffered."""
         return bool(self._rest.strip())
 
     def feed(self, data: bytes) -> list[Event]:
-        """Add bytes, and return the events that are whole now."""
+        """Add bytes; return the events that are complete now."""
         self._rest += data
         if _END not in self._rest:
             return []
--- a/packages/wrenloft-routing/src/wrenloft_routing/_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_streams.py
@@ -1,4 +1,4 @@
-"""Passing an event stream on, and noticing when it no longer comes."""
+"""Forwarding of event streams, with detection of stalls."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,8 +10,9 @@
 from wrenloft_routing._exchange import AnswerSink, Reply, ReplyBrokenError
 
 STALL_OBJECTIVES = 2.5
-"""Aimed pauses after which a stream counts as stalled if it may go on elsewhere. Within twice the
-pause a busy engine still writes; callers leave after eight times the pause at the earliest."""
+"""Multiples of the gap objective after which a resumable stream counts as stalled. A busy engine
+still writes within twice the objective; callers leave after eight times the objective at the
+earliest."""
 
 
 class StreamEnd(Enum):
@@ -25,9 +26,9 @@
 
 @dataclass(slots=True)
 class StreamProgress:
-    """How far a stream has come, over all endpoints that wrote it.
+    """The progress of a stream, over all endpoints that wrote it.
 
-    :param last: id of the last event that was passed on.
+    :param last_event: id of the last forwarded event.
     """
 
     begun: bool = False
@@ -46,15 +47,15 @@
     resumable: bool,
     on_first_event: Callable[[], None],
 ) -> StreamEnd:
-    """Pass events on until the endpoint's stream ends.
+    """Forward events until the endpoint's stream ends.
 
-    The caller's head is sent with the first whole event: until then the request can still be
-    tried elsewhere, or refused with its own status.
+    The head is sent with the first whole event: until then the request can still be tried
+    elsewhere, or refused with its own status.
 
     :param first_event_timeout: seconds until the first event.
-    :param resumable: whether a stall after it may end this endpoint's stream; if not, its silence
-        is borne until the deadline, since nobody else could go on.
-    :param on_first_event: called when this endpoint's first event has come.
+    :param resumable: whether a later stall may end this endpoint's stream; if not, the stream waits
+        until the deadline, since no other endpoint could resume it.
+    :param on_first_event: called on the first event of this endpoint.
     """
     splitter = EventSplitter()
     timeout = first_event_timeout
@@ -90,7 +91,7 @@
 
 
 def _is_contiguous(events: list[Event], last: int | None) -> bool:
-    """Check that no event is missing, doubled or from another run."""
+    """Return whether no event is missing, repeated or from another run."""
     for event in events:
         if event.number is not None:
             if last is not None and event.number != last + 1:
