--- a/packages/wrenloft-routing/src/wrenloft_routing/_proof.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_proof.py
@@ -1,20 +1,20 @@
-"""How old the last proof is that this node's configuration is the newest."""
+"""Age of the last proof that this node's configuration is the newest."""
 
 from wrenloft_core import read_clock
 
 MARGIN_SECONDS = 0.6
-"""Time for a request to get from this node to an endpoint and begin, and for unequal clocks."""
+"""Time for a request to reach an endpoint and begin, and for unequal clocks."""
 
 
 class FreshnessProof:
-    """The moment at which the configuration was last known to be the newest.
+    """The time at which the configuration was last known to be the newest.
 
     A linearizable read that was begun at ``t`` proves the state at ``t`` at the earliest, so the
-    time BEFORE the call counts. A watch that stays silent proves nothing: it may be cut off or
-    deaf.
+    time *before* the call counts. A silent watch proves nothing, since its connection may be
+    broken.
 
-    :param max_age: seconds that a key may go on being used after it was taken away; ``None`` if
-        keys are not bound to a time.
+    :param max_age: seconds for which a key may still be used after its removal; ``None`` if keys
+        are not bound to a time.
     """
 
     def __init__(self, max_age: float | None) -> None:
@@ -22,7 +22,7 @@
         self._proved_at: float | None = None
 
     def record(self, begun_at: float) -> None:
-        """Take a read that was begun at ``begun_at`` and is in force now."""
+        """Record a read that was begun at ``begun_at`` and is in force now."""
         if self._proved_at is None or begun_at > self._proved_at:
             self._proved_at = begun_at
 
@@ -32,7 +32,7 @@
         return float("inf") if self._proved_at is None else read_clock() - self._proved_at
 
     def allows_keys(self) -> bool:
-        """Whether a request with a key may be sent on now."""
+        """Return whether a request with a key may be sent now."""
         if self._max_age is None:
             return self._proved_at is not None
         return self.age < self._max_age - MARGIN_SECONDS
--- a/packages/wrenloft-routing/src/wrenloft_routing/_table.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_table.py
@@ -1,4 +1,4 @@
-"""The routing table: what operators allow, as the decisions read it."""
+"""The routing table: the operators' configuration as used by decisions."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 
 class RuleKind(Enum):
-    """What may be repeated."""
+    """Whether and how requests of a rule may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a rule sends to, with its part of the rule's requests."""
+    """A service that a rule sends to, with its share of the rule's requests."""
 
     service: ServiceName
     weight: float
@@ -30,12 +30,12 @@
     """One routing rule.
 
     :param timeout: seconds after which every request has its final answer.
-    :param aim: seconds within which an answer has its full worth.
+    :param aim: the latency objective: seconds within which an answer has its full value.
     :param rank: 0 for the most urgent.
     :param max_attempts: endpoints that one request may be sent to.
     :param public: whether callers need no key.
-    :param resumable: whether a stream may go on at another endpoint.
-    :param gap_objective: longest pause between two events of a stream, in seconds.
+    :param resumable: whether another endpoint may resume a stream.
+    :param gap_objective: longest gap between two events of a stream, in seconds.
     """
 
     name: str
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where weights come from.
+    """The source of weights.
 
-    :param place: its availability zone, if that is known.
-    :param link_rate: bits a second of its link.
+    :param place: its availability zone, if known.
+    :param link_rate: bits per second of its link.
     """
 
     address: str
@@ -75,9 +75,9 @@
 class BackendService:
     """A set of endpoints that do the same work.
 
-    :param model: what its engines run, ``None`` for a plain service.
+    :param model: the model of its engines, ``None`` for a plain service.
     :param chunk_count: chunks of one version of its weights.
-    :param layers: layers of the model, 1 if they are not stated: it is then loaded whole.
+    :param layers: layers of the model, 1 if not stated: it is then loaded whole.
     """
 
     name: ServiceName
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take.
+    """Limits of callers' requests and connections.
 
     :param header_bytes: largest head of a request.
     :param body_bytes: largest body of a request.
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Whom a key belongs to; ``rank`` goes before the rule's if it is given."""
+    """The owner of a key; ``rank`` takes precedence over the rule's if set."""
 
     organisation: OrganisationName
     rank: int | None = None
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """Everything in force at one revision; replaced whole, never changed."""
+    """The configuration in force at one revision; replaced whole, never changed."""
 
     revision: Revision
     rules: tuple[Rule, ...]
