--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_guard.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_guard.py
@@ -1,4 +1,4 @@
-"""Holding back requests that crash the endpoints which run them."""
+"""Quarantine of requests that crash the endpoints that run them."""
 
 import logging
 from collections import OrderedDict
@@ -19,28 +19,28 @@
 _LOG = logging.getLogger(__name__)
 
 MAX_SUCCESSES = 2048
-"""Contents whose last whole answer is remembered, about 0.4 MB: those of 10 s at 200 a second. The
-oldest go first; they are the next to prove nothing any more."""
+"""Contents whose last whole answer is remembered, about 0.4 MB: those of 10 s at 200 requests per
+second. The oldest are dropped first, as they are the next to expire as evidence."""
 
 MAX_PROBES = 256
-"""Contents whose last trial is remembered; more are not held back at once."""
+"""Contents whose last probe is remembered; more are not quarantined at once."""
 
 
 class QuarantineStore(Protocol):
-    """Where holds outlive this process, and where a trial is claimed for the whole fleet."""
+    """Persistent quarantines, and fleet-wide claims of probes."""
 
     def keep(self, content: ContentId, crashes: Mapping[IncarnationId, ReportedCrash]) -> None:
-        """Store that a content is held back, in the background."""
+        """Store that a content is quarantined, in the background."""
 
     def drop(self, content: ContentId) -> None:
-        """Store that it no longer is, in the background."""
+        """Store that it is no longer quarantined, in the background."""
 
     async def claim(self, content: ContentId, seconds: float) -> bool:
-        """Return whether this node alone may try a content in the next seconds."""
+        """Return whether only this node may send a content during the next seconds."""
 
 
 class CrashGuard:
-    """Decides which requests are answered without being sent."""
+    """Decide which requests are answered without being sent."""
 
     def __init__(self, ledger: CrashLedger, store: QuarantineStore) -> None:
         self._ledger = ledger
@@ -51,7 +51,7 @@
         ledger.on_change = self._update
 
     def record_endpoint_failure(self, failure: EndpointFailure) -> None:
-        """Take that an endpoint fell while requests of this node ran there."""
+        """Record the failure of an endpoint while requests of this node ran there."""
         for content in sorted(failure.contents):
             crash = Crash(failure.at)
             self._ledger.record(content, failure.incarnation, crash, CrashSource.OWN)
@@ -59,7 +59,7 @@
                 self._store.keep(content, self._ledger.report_crashes(content, read_clock()))
 
     def record_success(self, content: ContentId) -> None:
-        """Take that a request had a whole answer: its content crashes nothing."""
+        """Record a whole answer to a request, which shows that its content crashes nothing."""
         self._succeeded_at[content] = read_clock()
         self._succeeded_at.move_to_end(content)
         if len(self._succeeded_at) > MAX_SUCCESSES:
@@ -70,7 +70,7 @@
             self._store.drop(content)
 
     def lift(self, content: ContentId) -> bool:
-        """Hold a content back no longer, on an operator's word; return whether it was."""
+        """Lift a quarantine on an operator's request; return whether there was one."""
         if self._ledger.find_quarantine(content) is None:
             return False
         self._ledger.dismiss(content, Standing.LIFTED)
@@ -78,7 +78,7 @@
         return True
 
     def find_quarantine(self, content: ContentId) -> Quarantine | None:
-        """Return why a content is held back, ``None`` if it is not."""
+        """Return the quarantine of a content, ``None`` if there is none."""
         return self._ledger.find_quarantine(content)
 
     def count_refusal(self, quarantine: Quarantine) -> None:
@@ -86,16 +86,16 @@
         self._ledger.count_refusal(quarantine.content)
 
     def measure_retry_after(self, quarantine: Quarantine) -> float:
-        """Return the seconds until a request is next let through to find out how it fares."""
+        """Return the seconds until a request is next let through as a probe."""
         last_probe_at = self._probed_at.get(quarantine.content, float("-inf"))
         return measure_trial_wait(quarantine.crash_times, last_probe_at, read_clock())
 
     async def claim_probe(self, quarantine: Quarantine) -> bool:
-        """Return whether a request may be sent once, though its content is held back.
+        """Return whether a quarantined request may be sent once, as a probe.
 
-        One node alone may, in the whole fleet: each node lifting by its own clock would crash as
-        many engines as there are nodes. The claim is marked before it is asked for, so that a
-        second caller of this node is answered at once.
+        Only one node of the fleet may: if each node probed by its own clock, as many engines would
+        crash as there are nodes. The probe is recorded before the claim is sent, so that a second
+        caller of this node is answered at once.
         """
         content = quarantine.content
         if self.measure_retry_after(quarantine) > 0.0:
@@ -105,11 +105,11 @@
         if len(self._probed_at) > MAX_PROBES:
             self._probed_at.popitem(last=False)
         claimed = await self._store.claim(content, TRIAL_SECONDS)
-        note(_LOG, "trial of a held content", content=content, claimed=claimed)
+        note(_LOG, "probe of quarantined content", content=content, claimed=claimed)
         return claimed
 
     def _update(self, content: ContentId) -> None:
-        """Compare news of a content with what this node knows, and log when a hold begins."""
+        """Apply a changed content: compare it with this node's successes, and log quarantines."""
         crashed_at = self._ledger.list_crash_times(content)
         proven_at = self._succeeded_at.get(content)
         if crashed_at and is_proven(proven_at, max(crashed_at)):
@@ -120,12 +120,12 @@
             return
         if quarantine is None:
             self._quarantined.discard(content)
-            note(_LOG, "content held back no longer", content=content)
+            note(_LOG, "content quarantine ended", content=content)
             return
         self._quarantined.add(content)
         note(
             _LOG,
-            "content held back",
+            "content quarantined",
             content=content,
             crashes=quarantine.count,
             age_ms=round(quarantine.age * 1000),
--- a/packages/wrenloft-routing/tests/test_crash_guard.py
+++ b/packages/wrenloft-routing/tests/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Tests of holding back requests that crash endpoints, and of letting one through."""
+"""Tests of the quarantine of requests that crash endpoints, and of probes."""
 
 from collections.abc import Mapping
 
@@ -18,7 +18,7 @@
 
 
 class FakeStore:
-    """Remembers what it was told, and grants trials if a test says so."""
+    """A quarantine store that records calls, and grants probes if a test says so."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, ContentId]] = []
@@ -44,7 +44,7 @@
         self.guard = CrashGuard(self.ledger, self.store)
 
     def fail_endpoints(self, *names: str, contents: str = "c", age: float = 0.0) -> None:
-        """Let endpoints fall with requests of this node in progress."""
+        """Let endpoints fail with requests of this node in progress."""
         for name in names:
             running = frozenset(ContentId(each) for each in contents)
             at = read_clock() - age
@@ -54,12 +54,12 @@
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether the content is held back."""
+        """Whether the content is quarantined."""
         return self.guard.find_quarantine(CONTENT) is not None
 
 
 def test_quarantine_is_stored_by_nodes_that_observed_a_crash() -> None:
-    """All nodes may lose power at once; whoever starts again reads what was held back."""
+    """Guards against losing quarantines when all nodes lose power at once."""
     node, other = Node(), Node()
     node.fail_endpoints("a")
     other.fail_endpoints("b", "x")
@@ -75,9 +75,10 @@
 
 
 def test_recently_successful_content_is_not_quarantined() -> None:
-    """Many callers poll one path; a rack of five engines falls, the poll runs at each of them.
+    """Guards against a quarantine of a path that many callers poll.
 
-    It had whole answers moments before, so it crashed none of them.
+    A rack of five engines fails while the poll runs at each of them. It had whole answers moments
+    before, so it crashed none of them.
     """
     node = Node()
     node.guard.record_success(CONTENT)
@@ -86,7 +87,7 @@
 
 
 def test_success_at_another_node_clears_a_content() -> None:
-    """The node whose polls were lost had none answered lately; another one had."""
+    """The node that lost the polls had no recent answer to one; another node had."""
     node, other = Node(), Node()
     other.guard.record_success(CONTENT)
     node.fail_endpoints("a", "b", "c")
@@ -97,7 +98,7 @@
 
 
 def test_success_after_the_crashes_ends_a_quarantine() -> None:
-    """A first request was in progress at three engines that fell; a copy elsewhere is answered."""
+    """A new request ran at three engines that failed; a repeat elsewhere is answered."""
     node = Node()
     node.fail_endpoints("a", "b", "c")
     assert node.is_quarantined
@@ -107,7 +108,7 @@
 
 
 def test_success_of_a_bystander_is_not_stored() -> None:
-    """Requests that were present at one fall are answered elsewhere: no call to the store."""
+    """Requests that ran at a single failed endpoint cause no call to the store."""
     node = Node()
     node.fail_endpoints("a", contents="cde")
     node.guard.record_success(CONTENT)
@@ -115,7 +116,7 @@
 
 
 async def test_one_probe_a_minute_across_the_fleet() -> None:
-    """A minute after the last crash one request goes through, at the node that claims it."""
+    """A minute after the last crash one request is sent, at the node that claims the probe."""
     node = Node()
     node.fail_endpoints("a", "b", "c", age=TRIAL_SECONDS - 1.0)
     quarantine = node.guard.find_quarantine(CONTENT)
@@ -132,7 +133,7 @@
 
 
 async def test_probe_claimed_by_another_node_is_refused() -> None:
-    """Its answer is not waited for: the next caller here is refused without asking again."""
+    """The next caller at this node is refused without another claim."""
     node = Node()
     node.store.grants = False
     node.fail_endpoints("a", "b", "c", age=TRIAL_SECONDS + 1.0)
@@ -143,7 +144,7 @@
 
 
 def test_operator_lifts_a_quarantine() -> None:
-    """The cause was found; crashes known so far count no longer, further ones do."""
+    """Crashes known when a quarantine is lifted no longer count; further ones do."""
     node = Node()
     node.fail_endpoints("a", "b", "c")
     assert node.guard.lift(CONTENT)
@@ -156,7 +157,7 @@
 
 
 def test_remembered_successes_are_bounded() -> None:
-    """A hundred thousand different requests leave no more than the latest."""
+    """A hundred thousand different requests leave only the latest."""
     node = Node()
     for number in range(100_000):
         node.guard.record_success(ContentId(str(number)))
