--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Crashes by content, as all entry nodes know them together."""
+"""Crashes by content, as known to all entry nodes together."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -19,12 +19,13 @@
 )
 
 MAX_CONTENTS = 1024
-"""Contents with crashes that are kept, about 2 MB at the most; the fall of a whole rack leaves some
-hundred, of which all but the guilty ones are dropped first."""
+"""Contents with crashes that are kept, about 2 MB at most. The failure of a whole rack leaves some
+hundred; those below the quarantine threshold are dropped first."""
 
 MAX_CRASHES_PER_CONTENT = 16
-"""Crashes kept of one content: three hold it back, those of the moments until all nodes know and
-those of trials, four in the ten minutes for which they count, tell it from its victims."""
+"""Crashes kept per content: three for its quarantine, those until all nodes know of it, and four
+probes in the ten minutes for which crashes count. These suffice to tell the content from its
+victims."""
 
 REFUSED_REQUESTS = Counter(
     "wrenloft_held_back", "Requests answered without being sent: content held back"
@@ -36,7 +37,7 @@
 
 
 class CrashSource(Enum):
-    """Who told of a content's latest crash."""
+    """The origin of the report of a content's latest crash."""
 
     OWN = "own"
     PEER = "peer"
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedCrash:
-    """A crash as one node tells another; clocks differ, so its age is reported."""
+    """A crash as published to other nodes, with its age in seconds, since clocks differ."""
 
     age: float
     status: Standing
@@ -56,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Quarantine:
-    """A content that is held back.
+    """A content that is quarantined.
 
-    :param count: endpoints that fell under it.
-    :param crash_times: when they did.
-    :param source: who told of the latest.
+    :param count: endpoints that failed while running it.
+    :param crash_times: times of these failures.
+    :param source: of the report of the latest one.
     """
 
     content: ContentId
@@ -86,12 +87,12 @@
 class CrashLedger:
     """Crashes by content.
 
-    Each node sees the falls under its own attempts only; a request that is repeated at nine nodes
-    would crash three engines at each. So what any of them has seen counts at all. Words are joined
-    in any order and any number of times with the same result: a relay that died, lagged or told
-    twice changes nothing once the next one has reported.
+    Each node observes only the failures under its own attempts, and a request that is repeated at
+    nine nodes would crash three engines at each. The crashes that all nodes observed therefore
+    count together. Reports merge in any order and any number of times with the same result, so that
+    a relay that fails, lags or sends twice changes nothing once the next one has sent its updates.
 
-    :param on_change: called with each content about which something new is known.
+    :param on_change: called with each content whose crashes have changed.
     """
 
     def __init__(self) -> None:
@@ -107,7 +108,7 @@
     def record(
         self, content: ContentId, incarnation: IncarnationId, crash: Crash, source: CrashSource
     ) -> None:
-        """Take one crash, seen here or reported."""
+        """Record one crash, observed here or reported."""
         entry = self._entries.get(content) or _Entry()
         known = entry.crashes.get(incarnation)
         joined = join_crash(known, crash)
@@ -123,7 +124,7 @@
         self._record_change(content, entry)
 
     def _trim(self, entry: _Entry) -> None:
-        """Keep the youngest crashes that count."""
+        """Keep the latest crashes that count."""
         while len(entry.crashes) > MAX_CRASHES_PER_CONTENT:
             del entry.crashes[min(entry.crashes, key=lambda each: _rank(entry.crashes[each]))]
 
@@ -141,7 +142,7 @@
         self.on_change(content)
 
     def _pick_dropped(self) -> ContentId:
-        """Return the content of which nothing was heard for longest, a suspect only at last."""
+        """Return the content without changes for longest, a suspect only if there is no other."""
         oldest = (each for each in self._entries if each not in self._suspects)
         return next(oldest, next(iter(self._entries)))
 
@@ -151,7 +152,7 @@
         self.on_change(content)
 
     def dismiss(self, content: ContentId, status: Standing) -> bool:
-        """Let a content's crashes count no longer; return whether any did."""
+        """Stop counting a content's crashes; return whether any counted."""
         entry = self._entries.get(content)
         if entry is None:
             return False
@@ -170,7 +171,7 @@
         entry.refused = 0
 
     def merge(self, updates: CrashUpdates, source: CrashSource) -> None:
-        """Take what another node, or the store, tells."""
+        """Merge the updates of another node or of the store."""
         now = read_clock()
         for content, crashes in updates.items():
             for incarnation, reported in crashes.items():
@@ -179,7 +180,7 @@
                     self.record(content, incarnation, crash, source)
 
     def list_changes(self, since: int) -> CrashUpdates:
-        """Return what has changed after a revision of this ledger, to be reported."""
+        """Return the changes after a revision of this ledger, for publication."""
         if since == self.revision:
             return {}
         now = read_clock()
@@ -190,7 +191,7 @@
         }
 
     def report_crashes(self, content: ContentId, now: float) -> dict[IncarnationId, ReportedCrash]:
-        """Return a content's crashes as they are told to others."""
+        """Return a content's crashes for publication."""
         entry = self._entries.get(content) or _Entry()
         return {
             incarnation: ReportedCrash(now - crash.at, crash.standing)
@@ -198,12 +199,12 @@
         }
 
     def has_own_crash(self, content: ContentId) -> bool:
-        """Whether a crash of a content was seen by this node itself."""
+        """Return whether this node itself observed a crash of a content."""
         entry = self._entries.get(content)
         return entry is not None and entry.own
 
     def list_crash_times(self, content: ContentId) -> list[float]:
-        """Return when endpoints fell under a content, for crashes that count."""
+        """Return the times of a content's crashes that count."""
         entry = self._entries.get(content) or _Entry()
         return [each.at for each in entry.crashes.values() if each.standing is Standing.COUNTS]
 
@@ -215,9 +216,9 @@
             entry.refused += 1
 
     def find_quarantine(self, content: ContentId) -> Quarantine | None:
-        """Return why a content is held back, ``None`` if it is not.
+        """Return the quarantine of a content, ``None`` if there is none.
 
-        Most contents have no crash; for them this is one look into a set.
+        Most contents have no crash and cost a single set lookup.
         """
         if content not in self._suspects:
             return None
@@ -231,12 +232,12 @@
         return Quarantine(content, count, crash_times, entry.source)
 
     def list_quarantines(self) -> list[Quarantine]:
-        """Return all contents that are held back now."""
+        """Return all quarantines in force."""
         quarantines = (self.find_quarantine(each) for each in sorted(self._suspects))
         return [each for each in quarantines if each is not None]
 
     def drop_expired(self) -> None:
-        """Forget contents whose crashes no longer count."""
+        """Drop contents whose crashes no longer count."""
         now = read_clock()
         for content, entry in list(self._entries.items()):
             if all(now - each.at >= EVIDENCE_SECONDS for each in entry.crashes.values()):
--- a/packages/wrenloft-routing/tests/test_crash_ledger.py
+++ b/packages/wrenloft-routing/tests/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of crashes as entry nodes know them together."""
+"""Tests of crashes as known to all entry nodes together."""
 
 from random import Random
 
@@ -41,10 +41,10 @@
 
 
 class TestQuarantine:
-    """Tests of when a content is held back."""
+    """Tests of when a content is quarantined."""
 
     def test_third_crash_seen_by_any_node_quarantines(self) -> None:
-        """Three nodes saw one crash each; whoever has heard of all three holds the request back."""
+        """Three nodes observe one crash each; a node with all three reports has a quarantine."""
         ledgers = [CrashLedger() for _ in range(3)]
         for name, ledger in zip("abc", ledgers, strict=True):
             _record(ledger, name)
@@ -56,7 +56,7 @@
         assert ledgers[1].find_quarantine(CONTENT) is None
 
     def test_failure_reported_by_many_nodes_is_one_crash(self) -> None:
-        """Nine nodes had the same poll in progress at one engine when it fell."""
+        """Nine nodes had the same poll in progress at one engine when it failed."""
         ledger = CrashLedger()
         for _ in range(9):
             other = CrashLedger()
@@ -78,7 +78,7 @@
     def test_dismissal_ends_the_quarantine_at_all_nodes(
         self, standing: Standing, wrongly: float
     ) -> None:
-        """A whole answer, or an operator, at one node; requests held back wrongly are counted."""
+        """A whole answer or an operator ends it; requests refused by mistake are counted."""
         ledger, other = CrashLedger(), CrashLedger()
         _record(ledger, "abc")
         sent_revision = _send_updates(ledger, other)
@@ -94,11 +94,11 @@
 
 
 class TestUpdates:
-    """Tests of how words join."""
+    """Tests of merging reports."""
 
     @given(crash_reports, st.randoms(use_true_random=False))
     def test_order_and_repetition_change_nothing(self, reports, random: Random) -> None:
-        """Relays lag, die and tell again; in the end all nodes hold the same contents back."""
+        """Relays lag, fail and send twice; in the end all nodes have the same quarantines."""
         ledgers = [CrashLedger() for _ in range(3)]
         for content, incarnation, standing in reports:
             crash = Crash(read_clock(), standing)
@@ -115,7 +115,7 @@
         assert len(quarantined) == 1
 
     def test_only_changes_are_sent(self) -> None:
-        """An echo of what a node told is no news to it, and makes no frame."""
+        """Guards against frames that echo what a node already knows."""
         ledger, relay = CrashLedger(), CrashLedger()
         _record(ledger, "a")
         sent_revision = _send_updates(ledger, relay)
@@ -126,10 +126,10 @@
 
 
 class TestBounds:
-    """Tests of what is kept."""
+    """Tests of the limits on kept crashes."""
 
     def test_number_of_contents_is_bounded(self) -> None:
-        """Racks fall under many different requests; those that are held back stay."""
+        """Racks fail under many different requests; quarantined contents are kept."""
         ledger = CrashLedger()
         _record(ledger, "abc")
         for number in range(100_000):
@@ -138,7 +138,7 @@
         assert ledger.find_quarantine(CONTENT) is not None
 
     def test_number_of_crashes_per_content_is_bounded(self) -> None:
-        """Further ones than these tell nothing new."""
+        """Guards against unbounded growth under a content that crashes many endpoints."""
         ledger = CrashLedger()
         _record(ledger, "abcdefghijklmnopqrstuvwxyz")
         assert len(ledger.report_crashes(CONTENT, read_clock())) == MAX_CRASHES_PER_CONTENT
