--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_routes.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_routes.py
@@ -1,4 +1,4 @@
-"""What operators see of contents that are held back, and how they lift one."""
+"""The operators' routes to list and lift quarantines."""
 
 import logging
 
@@ -14,7 +14,8 @@
 
 
 class CrashRoutes:
-    """Lists and lifts on the internal address; a lift reaches the other nodes as crashes do."""
+    """List and lift quarantines on the internal address; other nodes receive a lift as an
+    update."""
 
     def __init__(self, ledger: CrashLedger, guard: CrashGuard) -> None:
         self._ledger = ledger
@@ -44,5 +45,5 @@
             return web.json_response({"error": 'body is not {"lift": "CONTENT"}'}, status=400)
         if not self._guard.lift(content):
             return web.json_response({"error": f"{content} is not held back"}, status=404)
-        note(_LOG, "hold lifted", content=content)
+        note(_LOG, "quarantine lifted", content=content)
         return web.json_response({"lifted": content})
--- a/packages/wrenloft-routing/tests/test_crash_fleet.py
+++ b/packages/wrenloft-routing/tests/test_crash_fleet.py
@@ -1,9 +1,9 @@
-"""A request that crashes endpoints, repeated at fleets of many entry nodes, in steps of time.
+"""Simulation of a request that crashes endpoints, repeated at fleets of many entry nodes.
 
-Callers see their streams break off for as long as such a request is sent. Its repeats come at
-several nodes in the same instant, each is tried twice, and a node that has not heard of the
-crashes sends it on. Word goes from node to relay, from relay to the other zones' relays, and from
-these to their nodes; a relay may die at the worst moment, and nodes may start anew or be frozen.
+Callers see their streams break for as long as such a request is sent. Repeats reach several nodes
+in the same instant, each is tried twice, and a node that does not know of the crashes sends it on.
+Updates go from nodes to relays, between the zones' relays, and from relays to their nodes. Relays
+may fail, and nodes may restart or be frozen.
 """
 
 from dataclasses import dataclass, field
@@ -23,18 +23,18 @@
 ATTEMPTS = 2
 REPEAT_SECONDS = 0.1
 NODES_PER_REPEAT = 3
-"""Nodes that get a repeat in the same instant."""
+"""Nodes that receive a repeat in the same instant."""
 
 RELAY_FAILOVER_SECONDS = 1.1
-"""From a relay's death until the next one tells: silence, connection and gathering."""
+"""From the failure of a relay until the next one sends: timeout, connection and merging."""
 
 MAX_SENDS_AFTER_BOUND = 3
-"""Sends allowed later than the bound after the third crash, by the whole fleet."""
+"""Sends allowed after the bound that follows the third crash, at the whole fleet."""
 
 
 @dataclass
 class Zone:
-    """Nodes that follow one relay; which it is changes when it dies."""
+    """Nodes that follow one relay; another one takes over when it fails."""
 
     nodes: list[int]
     relay: int
@@ -43,7 +43,7 @@
 
 @dataclass
 class Model:
-    """A fleet in steps of time."""
+    """A fleet simulated in time steps."""
 
     zones: list[Zone]
     random: Random
@@ -57,7 +57,7 @@
     now: float = 0.0
 
     def send_updates(self, source: int, target: int, interval: float) -> None:
-        """Tell what is new over one connection, if its next message is due."""
+        """Send changes over one connection, if its next message is due."""
         pair = (source, target)
         if self.now < self.next_at.get(pair, 0.0) or {source, target} & self.frozen:
             return
@@ -68,7 +68,7 @@
         self.sent_revisions[pair] = ledger.revision
 
     def exchange_updates(self) -> None:
-        """Let all nodes and relays tell one another."""
+        """Let all nodes and relays exchange updates."""
         live = [zone for zone in self.zones if self.now >= zone.silent_until]
         for zone in live:
             interval = measure_frame_interval(len(zone.nodes))
@@ -83,14 +83,14 @@
                     )
 
     def restart(self, node: int) -> None:
-        """Forget all that a node knew."""
+        """Reset a node's ledger."""
         self.ledgers[node] = CrashLedger()
         self.sent_revisions = {
             pair: at for pair, at in self.sent_revisions.items() if node not in pair
         }
 
     def kill_relay(self, zone: Zone) -> None:
-        """Let a relay die and start anew; the next node of its zone takes its place."""
+        """Restart a relay; the next node of its zone takes over."""
         self.restart(zone.relay)
         zone.relay = zone.nodes[(zone.nodes.index(zone.relay) + 1) % len(zone.nodes)]
         zone.silent_until = self.now + RELAY_FAILOVER_SECONDS
@@ -99,14 +99,14 @@
         }
 
     def send(self, node: int, attempts: int) -> None:
-        """Send the request from a node, unless it is held back there."""
+        """Send the request from a node, unless it is quarantined there."""
         if node in self.frozen or self.ledgers[node].find_quarantine(CONTENT) is not None:
             return
         self.sends.append(self.now)
         self.running.append((self.now + RUN_SECONDS, node, attempts))
 
     def crash(self) -> None:
-        """Let endpoints crash, and their nodes try elsewhere."""
+        """Let endpoints crash, and their nodes retry elsewhere."""
         due = [each for each in self.running if each[0] <= self.now]
         self.running = [each for each in self.running if each[0] > self.now]
         for _, node, attempts in due:
@@ -159,14 +159,14 @@
 
 
 FLEETS = {9: ([3, 3, 3], 3.0), 38: ([13, 13, 12], 4.0), 98: ([20, 20, 20, 19, 19], 5.0)}
-"""Nodes by zone, and the seconds after which all in touch must know, by size."""
+"""Nodes by zone, and the seconds after which all reachable ones must know, by size."""
 
 
 @pytest.mark.parametrize("size", FLEETS)
 @pytest.mark.parametrize("disturb", [_no_fault, _kill_one_relay, _kill_all_relays])
 @pytest.mark.parametrize("seed", range(3))
 def test_requests_stop_within_the_bound(size: int, disturb, seed: int) -> None:
-    """Thirty repeats a second at random nodes, three in each instant, two tries each."""
+    """Thirty repeats a second at random nodes, three in each instant, two attempts each."""
     sizes, bound = FLEETS[size]
     model = _build(sizes, seed)
     model.run(bound + 4.0, disturb)
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("size", FLEETS)
 def test_restarted_or_resumed_node_is_updated_within_the_bound(size: int) -> None:
-    """Nodes are frozen or start anew while the others learn; each may send only before word."""
+    """Nodes are frozen or restarted during the updates; each sends only until it is updated."""
     sizes, bound = FLEETS[size]
     model = _build(sizes, seed=1)
 
