--- a/packages/wrenloft-routing/src/wrenloft_routing/_failure_detector.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_failure_detector.py
@@ -1,4 +1,4 @@
-"""Finding out whether an endpoint fell while requests ran there."""
+"""Detection of endpoints that failed while requests ran there."""
 
 import asyncio
 import logging
@@ -16,11 +16,12 @@
 _LOG = logging.getLogger(__name__)
 
 LOSS_TTL_SECONDS = 8.0
-"""How long a loss is kept while the endpoint's restart may still be told: an entry lapses after
-three heartbeats of 1.2 s, a process needs up to 3 s to come back and a reading is 1 s old."""
+"""Seconds for which a loss is kept while the list may still show a restart: an entry expires after
+three heartbeats of 1.2 s, a process restarts within 3 s, and a snapshot of the list is up to 1 s
+old."""
 
 MAX_CONTENTS = 64
-"""Contents kept for one endpoint: four times an engine's slots."""
+"""Contents kept per endpoint: four times an engine's slots."""
 
 ENDPOINT_FAILURES = Counter(
     "wrenloft_endpoint_failures", "Endpoints found to have crashed", ["sign"]
@@ -28,7 +29,7 @@
 
 
 class FailureSign(Enum):
-    """By what an endpoint's fall was found out."""
+    """The evidence of an endpoint's failure."""
 
     REFUSED = "refused"
     SILENT = "silent"
@@ -39,8 +40,8 @@
 class EndpointFailure:
     """An endpoint that ended while requests ran there.
 
-    :param contents: of the requests whose answers were lost with it at this node.
-    :param at: when the first of them was lost.
+    :param contents: of the requests of this node whose answers were lost with it.
+    :param at: time of the first loss.
     """
 
     incarnation: IncarnationId
@@ -71,11 +72,11 @@
 
 
 class FailureDetector:
-    """Judges, after an answer was lost, whether its endpoint fell or only the connection broke.
+    """Decide after a lost answer whether its endpoint failed or only the connection.
 
-    Both look alike on the connection. A process that fell refuses the next connection, a host that
-    is dark leaves it unanswered, and one that has restarted meanwhile is another incarnation in the
-    list; an endpoint that shows none of these lost a connection and nothing else.
+    Both look alike on the connection. A process that ended refuses the next connection, a host that
+    is down leaves it unanswered, and an endpoint that has restarted is listed as another
+    incarnation. An endpoint with none of these signs lost only a connection.
 
     :param on_failure: called with each failure, and again for each further request involved.
     """
@@ -95,7 +96,7 @@
 
     @contextmanager
     def track_request(self, states: Iterable[EndpointState], content: ContentId) -> Iterator[float]:
-        """Take that a request is in progress at endpoints; yields when it was sent."""
+        """Track a request in progress at endpoints; yield the time at which it was sent."""
         request = _RunningRequest(content, read_clock())
         incarnations = [each.endpoint.incarnation for each in states]
         for incarnation in incarnations:
@@ -109,10 +110,10 @@
                     del self._running[incarnation]
 
     def record_unreachable(self, state: EndpointState) -> None:
-        """Take that an endpoint took no connection.
+        """Record that an endpoint accepted no connection.
 
-        Requests in progress there may wait in silence until their deadlines, seconds after the
-        fall: its next caller finds it out sooner, and repeats are held back the sooner.
+        Requests in progress there may wait until their deadlines, seconds after the failure. The
+        next connection to the endpoint detects it sooner, and repeats are quarantined sooner.
         """
         for request in list(self._running.get(state.endpoint.incarnation, ())):
             self.record_loss(state, request.content, request.sent_at, silent=True)
@@ -120,13 +121,13 @@
     def record_loss(
         self, state: EndpointState, content: ContentId, sent_at: float, *, silent: bool
     ) -> None:
-        """Take that the answer to a request was lost at an endpoint.
+        """Record that the answer to a request was lost at an endpoint.
 
-        One that is leaving, or is listed no more, may end at any time: that is no fall. But silence
-        may be noticed only when the list already has the endpoint's next incarnation, or none. A
-        request that was sent when the endpoint had fallen had no part in it.
+        An endpoint that is leaving, or is no longer listed, may end at any time, which is no
+        failure. But a timeout may be noticed only when the list already has the endpoint's next
+        incarnation, or none. A request that was sent after the failure is not involved in it.
 
-        :param silent: whether that was noticed by silence, and so perhaps long after the fall.
+        :param silent: whether it was noticed by a timeout, and so perhaps long after the failure.
         """
         endpoint = state.endpoint
         listed = self._endpoints.get(endpoint.agent_id) is state
@@ -158,13 +159,18 @@
             self._discard_losses(losses)
 
     def _discard_losses(self, losses: _EndpointLosses) -> None:
-        """Take that an endpoint is there.
+        """Discard the losses of an endpoint that accepts connections, except silent ones.
 
-        A connection that broke just now was broken by something else. After a silence of seconds
-        the endpoint may have fallen and come back; the list will tell.
+        A connection that broke just now broke for another reason. After a silence of seconds the
+        endpoint may have failed and restarted, which a later snapshot of the list shows.
         """
         endpoint, contents = losses.endpoint, sorted(losses.contents)
-        note(_LOG, "endpoint answers after a loss", endpoint=endpoint.agent_id, contents=contents)
+        note(
+            _LOG,
+            "endpoint reachable after a lost answer",
+            endpoint=endpoint.agent_id,
+            contents=contents,
+        )
         losses.contents = {
             content: loss for content, loss in losses.contents.items() if loss.silent
         }
@@ -172,7 +178,7 @@
             self._confirm(losses, FailureSign.RESTARTED)
 
     def review(self) -> None:
-        """Compare losses with a new reading of the list, and drop old ones."""
+        """Compare losses with a new snapshot of the list, and drop old ones."""
         oldest = read_clock() - LOSS_TTL_SECONDS
         for incarnation, losses in list(self._losses.items()):
             if all(each.at < oldest for each in losses.contents.values()):
@@ -209,7 +215,7 @@
         )
 
     async def close(self) -> None:
-        """Give up what is being asked."""
+        """Cancel the probes in progress."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/packages/wrenloft-routing/tests/test_failure_detector.py
+++ b/packages/wrenloft-routing/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Tests of telling an endpoint that fell from a connection that broke."""
+"""Tests of distinguishing a failed endpoint from a broken connection."""
 
 import asyncio
 from dataclasses import replace
@@ -23,7 +23,7 @@
 
 
 class DetectorHarness:
-    """A watch of one endpoint whose address answers as a test says."""
+    """A detector of one endpoint whose address answers as a test says."""
 
     def __init__(self, liveness: Liveness) -> None:
         self.liveness = liveness
@@ -40,7 +40,7 @@
     async def lose_answers(
         self, *contents: str, sent_at: float = 0.0, silent: bool = False
     ) -> None:
-        """Lose the answers to requests, and let the endpoint be asked."""
+        """Lose the answers to requests, and let the endpoint be probed."""
         state = self.endpoints.get(ENDPOINT.agent_id)
         assert state is not None
         for content in contents:
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("liveness", [Liveness.REFUSED, Liveness.SILENT])
 async def test_endpoint_that_accepts_no_connection_has_failed(liveness: Liveness) -> None:
-    """All requests that were lost with it are named, and it is asked once."""
+    """All requests that were lost with it are reported, and it is probed once."""
     harness = DetectorHarness(liveness)
     await harness.lose_answers("a", "b")
     assert [(each.incarnation, each.contents) for each in harness.failures] == [("e@5", {"a", "b"})]
@@ -62,7 +62,7 @@
 
 
 async def test_broken_connection_to_a_live_endpoint_is_no_failure() -> None:
-    """Connections of a whole zone are reset: answers are lost, and no endpoint fell."""
+    """Connections of a whole zone are reset: answers are lost, but no endpoint failed."""
     harness = DetectorHarness(Liveness.ANSWERS)
     await harness.lose_answers("a")
     harness.detector.review()
@@ -71,9 +71,9 @@
 
 @pytest.mark.parametrize("after", [{"born": 9}, {"agent_id": AgentId("other")}])
 async def test_restarted_endpoint_has_failed(after: dict[str, object]) -> None:
-    """It fell seconds before its silence was noticed, and answers when it is asked.
+    """The endpoint failed seconds before the timeout and accepts connections when probed.
 
-    It is another incarnation in the next reading of the list.
+    The next snapshot of the list shows another incarnation.
     """
     harness = DetectorHarness(Liveness.ANSWERS)
     await harness.lose_answers("a", silent=True)
@@ -83,7 +83,7 @@
 
 
 async def test_restart_listed_before_the_timeout_is_a_failure() -> None:
-    """The endpoint was back within a second, and its requests had waited for two."""
+    """The endpoint restarted within a second, and its requests had waited for two."""
     harness = DetectorHarness(Liveness.ANSWERS)
     state = harness.endpoints.get(ENDPOINT.agent_id)
     assert state is not None
@@ -94,7 +94,7 @@
 
 
 async def test_end_of_a_leaving_endpoint_is_no_failure() -> None:
-    """It was drained, or is listed no more; its last answers are cut when it ends."""
+    """It is draining, or no longer listed; its last answers are cut when it ends."""
     harness = DetectorHarness(Liveness.REFUSED)
     harness.endpoints.update([replace(ENDPOINT, leaving=True)], trusted=True)
     await harness.lose_answers("a")
@@ -102,9 +102,10 @@
 
 
 async def test_silent_failure_is_detected_by_the_next_request() -> None:
-    """A call that may be sent once waits at a dark endpoint until its deadline, for seconds.
+    """Guards against a failure that is unnoticed until a request's deadline.
 
-    Another caller's connection there is refused meanwhile; both calls' contents are not alike.
+    A request that may be sent only once waits at an unreachable endpoint; the connection of another
+    request with another content is refused meanwhile.
     """
     harness = DetectorHarness(Liveness.SILENT)
     state = harness.endpoints.get(ENDPOINT.agent_id)
@@ -129,7 +130,7 @@
 
 
 async def test_request_sent_after_the_failure_is_not_involved() -> None:
-    """A chain names an engine that fell before the request was sent to the chain's first one."""
+    """A chain reports an engine that failed before the request was sent."""
     harness = DetectorHarness(Liveness.REFUSED)
     await harness.lose_answers("a")
     await harness.lose_answers("b", sent_at=harness.failures[0].at + 0.01)
@@ -137,7 +138,7 @@
 
 
 async def test_connection_broken_before_a_failure_is_not_involved() -> None:
-    """A reset cuts one request off; a second later another request crashes the endpoint."""
+    """A reset ends one request; a second later another request crashes the endpoint."""
     harness = DetectorHarness(Liveness.ANSWERS)
     await harness.lose_answers("a")
     harness.liveness = Liveness.REFUSED
