--- a/packages/wrenloft-routing/tests/test_content.py
+++ b/packages/wrenloft-routing/tests/test_content.py
@@ -1,4 +1,4 @@
-"""Tests of what makes two requests the same."""
+"""Tests of the identity of requests."""
 
 from blake3 import blake3
 
@@ -13,7 +13,7 @@
 
 
 def test_repeat_has_the_same_id() -> None:
-    """Only who asks, the path and the body count; the body may have come in any parts."""
+    """Only organisation, path and body count; the body may have arrived in any parts."""
     parts = blake3()
     parts.update(b"bo")
     parts.update(b"dy")
