--- a/packages/wrenloft-routing/src/wrenloft_routing/__init__.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing of callers' requests straight to endpoints, free of any wire format."""
+"""Routing of callers' requests straight to endpoints, independent of any wire format."""
 
 from wrenloft_routing._budget import SharedRetryBudget
 from wrenloft_routing._chains import ChainStage, Eligible, list_eligible
--- a/packages/wrenloft-routing/src/wrenloft_routing/_metrics.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters of what entry nodes and agents tell one another."""
+"""Counters of messages between entry nodes and agents."""
 
 from prometheus_client import Counter
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_settings.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_settings.py
@@ -1,18 +1,18 @@
-"""Settings of an entry node that forwards straight to endpoints."""
+"""Settings of an entry node that forwards requests straight to endpoints."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What operators promise their callers, in seconds unless said otherwise.
+    """Guarantees of operators to their callers, in seconds unless stated otherwise.
 
     :param grace: from the signal to stop until the process is killed.
-    :param revoke: from taking a key away until no request with it may run; 0 for no bound.
-    :param retry_ratio: second tries allowed for each request.
-    :param retry_slack: second tries allowed in each window besides.
+    :param revoke: from the removal of a key until no request with it may run; 0 for no bound.
+    :param retry_ratio: retries allowed per request.
+    :param retry_slack: retries allowed in each window in addition.
     :param retry_window: the window.
-    :param version: from naming weights until requests begin on them only.
+    :param version: from the announcement of weights until requests may begin only on them.
     :param directory_keep: longest time for which callers keep a list of addresses.
     """
 
@@ -27,18 +27,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """What an entry node is told at its start.
+    """Settings of an entry node at its start.
 
     :param ip: this host's address.
     :param regions: region of each availability zone.
     :param front: address for callers.
-    :param readiness: address for the platform's checks.
-    :param directory: address for callers who ask where to connect.
+    :param readiness: address for the platform's health checks.
+    :param directory: address of the directory of entry nodes for callers.
     :param internal_port: port for other nodes, the same on all hosts.
     :param store: address of the platform's store.
-    :param processor_share: part of a core's time that this host gives, 0 to 1.
-    :param processor_speed: how many times faster than one core that is.
-    :param log_lines: lines a second logged at most.
+    :param processor_share: share of a core's time that this host grants, 0 to 1.
+    :param processor_speed: speed relative to one core.
+    :param log_lines: maximum of log lines per second.
     """
 
     name: str
