--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -289,7 +289,7 @@
         "::test_unsafe_request_is_never_repeated",
     ),
     Safeguard(
-        "routing: events are contiguous",
+        "routing: events follow on each other",
         f"{ROUTING}/_streams.py",
         "if not _is_contiguous(events, stream.last_event):",
         "if False:",
@@ -371,7 +371,7 @@
         "::test_closed_kept_connection_is_lost_and_sent_once",
     ),
     Safeguard(
-        "a restarted endpoint keeps no earlier state",
+        "a later start of an endpoint keeps no earlier state",
         f"{ROUTING}/_endpoints.py",
         "if state is not None and endpoint.born > state.endpoint.born:",
         "if False:",
@@ -395,7 +395,7 @@
         "::test_entry_of_another_writer_takes_nobody_s_place",
     ),
     Safeguard(
-        "waiting requests share spare capacity at random",
+        "a request that waits takes spare capacity at random",
         f"{ROUTING}/_gate.py",
         "if queue.fresh + queue.late <= 1:",
         "if True:",
@@ -671,7 +671,7 @@
         f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds" "::test_number_of_contents_is_bounded",
     ),
     Safeguard(
-        "a recent success exonerates its content",
+        "a recent whole answer clears its content",
         f"{ROUTING}/_crash_guard.py",
         "if crashed_at and is_proven(proven_at, max(crashed_at)):",
         "if False:",
@@ -715,7 +715,7 @@
         "::test_error_response_to_a_probe_is_forwarded",
     ),
     Safeguard(
-        "a crash update stops a waiting request",
+        "a crash update stops a request that waits",
         f"{ROUTING}/_forward.py",
         "if not progress.is_probe and self._guard.find_quarantine(progress.content) is not None:",
         "if False:",
@@ -798,7 +798,7 @@
         "::test_request_moves_to_an_endpoint_with_capacity_at_once",
     ),
     Safeguard(
-        "a request without a timely turn is refused at once",
+        "a request that limits give no timely turn is refused at once",
         f"{ROUTING}/_gate.py",
         "if all(each.limited for each in loads):",
         "if False:",
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
@@ -260,7 +260,7 @@
             if agent_id not in seen and trusted:
                 del self._states[agent_id]
                 _export_rate_limit(agent_id, None)
-                note(_LOG, "endpoint removed", endpoint=agent_id, service=state.endpoint.service)
+                note(_LOG, "endpoint gone", endpoint=agent_id, service=state.endpoint.service)
         self._index()
 
     def _update_endpoint(self, agent_id: AgentId, endpoint: Endpoint) -> None:
@@ -271,7 +271,7 @@
             # A restarted endpoint keeps no earlier state: the report of the previous incarnation
             # would send it requests for weights that it lacks, and its leaving mark would exclude
             # it.
-            note(_LOG, "endpoint restarted", endpoint=agent_id, born=endpoint.born)
+            note(_LOG, "endpoint started again", endpoint=agent_id, born=endpoint.born)
             state = None
         if state is None:
             leaving = self._left_born.get(agent_id, -1) >= endpoint.born
--- a/packages/wrenloft-routing/src/wrenloft_routing/_failure_detector.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_failure_detector.py
@@ -167,7 +167,7 @@
         endpoint, contents = losses.endpoint, sorted(losses.contents)
         note(
             _LOG,
-            "endpoint reachable after a lost answer",
+            "endpoint answers after a lost answer",
             endpoint=endpoint.agent_id,
             contents=contents,
         )
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -93,8 +93,8 @@
     @property
     def urgency(self) -> int:
         """The order as one number; the lowest goes first."""
-        rank, late = self.order
-        return 2 * rank + late
+        rank, overdue = self.order
+        return 2 * rank + overdue
 
     @property
     def is_overdue(self) -> bool:
@@ -418,8 +418,8 @@
 
     def _count_queue(self, service: ServiceName) -> QueueLength:
         waiting = self._waiting.get(service, ())
-        late = sum(each.is_overdue for each in waiting)
-        return QueueLength(len(waiting) - late, late)
+        overdue = sum(each.is_overdue for each in waiting)
+        return QueueLength(len(waiting) - overdue, overdue)
 
     def list_queues(self) -> dict[ServiceName, QueueLength]:
         """Return the waiting requests of each service, for publication to other nodes."""
