--- a/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_exchange.py
@@ -19,7 +19,7 @@
     :param target: path and query exactly as sent.
     :param headers: those that are forwarded to the endpoint, as sent.
     :param key: the caller's key, if it sent one.
-    :param patience: the caller timeout in seconds, ``None`` if not stated.
+    :param caller_timeout: seconds that the caller waits, ``None`` if not stated.
     :param prompt_tokens: tokens of the prompt, 0 if not stated.
     :param last_event: id of the last event that the caller has of an earlier stream.
     :param body_digest: of the body, computed as it arrived.
@@ -35,7 +35,7 @@
     body: bytes
     body_digest: bytes
     key: str | None
-    patience: float | None
+    caller_timeout: float | None
     prompt_tokens: float
     last_event: int | None
     arrived: float
--- a/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
@@ -154,7 +154,7 @@
         service = table.services.get(pick_target(rule.targets, self._random))
         if service is None:
             return NotRun("admit", "service not configured", retry_after=0.5)
-        caller_timeout = rule.timeout if request.patience is None else request.patience
+        caller_timeout = rule.timeout if request.caller_timeout is None else request.caller_timeout
         deadline = request.arrived + min(caller_timeout, rule.timeout)
         content = identify_content(organisation, request.target, request.body_digest)
         progress = RequestProgress(request, rule, service, organisation, rank, deadline, content)
@@ -348,7 +348,7 @@
                 # Cancelled ahead of a version's deadline, which is no fault of the endpoint.
                 # Counted as a failure, it excluded every engine for 1.5 s after each swap.
                 return Lost("request did not begin before the version deadline", at_fault=False)
-            return Lost("endpoint sent no response in time", silent=True)
+            return Lost("no answer in time", silent=True)
 
     def _silence_timeout(self, progress: RequestProgress, left: float) -> float:
         """Return the seconds for which an endpoint may stay silent before it is given up."""
@@ -400,7 +400,7 @@
         if self._can_retry(progress, progress.attempts) and progress.left > _MIN_TIME_LEFT_SECONDS:
             if self._budget.withdraw(progress.service.name, read_clock()):
                 return None
-            reason = f"{reason}; retry budget exhausted"
+            reason = f"{reason}; no second attempt left in the budget"
         return Unknown(step, reason, progress.peer)
 
     async def _handle_reply(
@@ -420,7 +420,7 @@
             self._endpoints.record_limit(state, reply.named_limit, limit_known=progress.limit_known)
         try:
             if not reply.genuine:
-                return self._discard_reply(progress, placed, "response belongs to another request")
+                return self._discard_reply(progress, placed, "answer belongs to another request")
             if reply.status >= 500 and placed.chain:
                 self._record_loss(progress, placed, silent=True)  # perhaps of a later engine
             failed = reply.status >= 500 and self._can_retry(progress, progress.attempts)
@@ -463,7 +463,7 @@
         ATTEMPTS.labels("broken").inc()
         note(
             _LOG,
-            "response discarded",
+            "answer discarded",
             request=progress.request.request_id,
             endpoint=progress.peer,
             reason=reason,
@@ -488,7 +488,7 @@
             self._record_loss(progress, placed, silent=True)
             return Unknown("read", "deadline passed", progress.peer)
         except ReplyBrokenError as error:
-            return self._discard_reply(progress, placed, f"response ended early: {error}")
+            return self._discard_reply(progress, placed, f"answer ended early: {error}")
         await self._release_connection(state, reply)
         self._endpoints.record_success(state)
         if reply.status < 500:
--- a/packages/wrenloft-routing/tests/test_forward.py
+++ b/packages/wrenloft-routing/tests/test_forward.py
@@ -290,7 +290,7 @@
             "body": b"",
             "body_digest": b"",
             "key": "key",
-            "patience": 0.8,
+            "caller_timeout": 0.8,
             "prompt_tokens": 100.0,
             "last_event": None,
             "arrived": read_clock(),
@@ -435,10 +435,10 @@
         """Guards against overdue requests that wait for capacity that fresh ones use."""
         harness = Harness()
         harness.exhaust_limits(0, 1, 2, turn=0.3)
-        await harness.send("safe", patience=2.0)
+        await harness.send("safe", caller_timeout=2.0)
         harness.sink = FakeSink()
         waits.clear()
-        await harness.send("safe", patience=1.5)
+        await harness.send("safe", caller_timeout=1.5)
         assert harness.sink.status == 503
         assert not waits
 
@@ -597,14 +597,14 @@
     async def test_silent_unsafe_request_ends_at_its_deadline(self) -> None:
         """Retrying is not allowed: the caller gets 504 at its deadline, and not later."""
         harness = Harness(5.0)
-        await harness.send("once", patience=0.2)
+        await harness.send("once", caller_timeout=0.2)
         assert harness.sink.status == 504
         assert len(harness.attempts) == 1
 
     async def test_attempt_timeouts_decrease(self) -> None:
         """The endpoint never gets more time than the caller still waits."""
         harness = Harness(Lost("reset"), FakeReply([b"ok"]))
-        await harness.send("safe", patience=0.5)
+        await harness.send("safe", caller_timeout=0.5)
         assert harness.attempts[1].left < harness.attempts[0].left <= 0.5
 
 
@@ -714,7 +714,7 @@
         """A stream that still runs at the deadline is cut and its work ended."""
         reply = FakeReply([_events(0), 5.0], is_stream=True)
         harness = Harness(reply)
-        await harness.send("fixed", patience=0.2)
+        await harness.send("fixed", caller_timeout=0.2)
         assert harness.sink.aborted
         assert reply.closed == [False]
 
@@ -765,7 +765,7 @@
         reply = FakeReply([5.0], is_stream=True)
         harness = Harness(reply)
         harness.gate.announce_version(MODEL, WantedVersion(2, read_clock() - 7.1))
-        await harness.send("fixed", patience=3.0)
+        await harness.send("fixed", caller_timeout=3.0)
         assert reply.closed == [False]
         assert harness.sink.status == 502
 
@@ -777,7 +777,7 @@
         """
         harness = Harness(5.0)
         harness.gate.announce_version(MODEL, WantedVersion(2, read_clock() - 7.4))
-        await harness.send("fixed", patience=5.0)
+        await harness.send("fixed", caller_timeout=5.0)
         states = harness.endpoints.of_service(ENGINES)
         assert not any(state.failures for state in states)
 
@@ -871,7 +871,7 @@
         harness.forwarder.table = replace(TABLE, rules=(rule,))
         for state in harness.endpoints.of_service(PLAIN):
             harness.endpoints.record_full(state, read_clock())
-        grant_requests = asyncio.create_task(harness.send("safe", patience=4.0))
+        grant_requests = asyncio.create_task(harness.send("safe", caller_timeout=4.0))
         await asyncio.sleep(0.02)
         self._crash(harness, "a", "b", "c")
         outcome = await grant_requests
@@ -887,7 +887,7 @@
         for endpoint in listed:
             harness.endpoints.update([endpoint], trusted=True)
             harness.sink = FakeSink()
-            assert isinstance(await harness.send("safe", patience=0.2), Unknown)
+            assert isinstance(await harness.send("safe", caller_timeout=0.2), Unknown)
             await asyncio.sleep(0.01)
         harness.endpoints.update([replace(listed[0], agent_id=AgentId("new"))], trusted=True)
         harness.sink = FakeSink()
@@ -968,7 +968,7 @@
         waiting = asyncio.create_task(harness.send("once"))
         await asyncio.sleep(0.01)
         first, harness.sink = harness.sink, FakeSink()
-        await harness.send("once", body_digest=b"other", patience=0.05)
+        await harness.send("once", body_digest=b"other", caller_timeout=0.05)
         await asyncio.sleep(0.01)
         content = identify_content(OrganisationName("org"), "/once/x", b"")
         assert len(harness.crashes.list_crash_times(content)) == 1
