--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
@@ -24,8 +24,7 @@
 
 MAX_CRASHES_PER_CONTENT = 16
 """Crashes kept per content: three for its quarantine, those until all nodes know of it, and four
-probes in the ten minutes for which crashes count. These suffice to tell the content from its
-victims."""
+probes in the ten minutes for which crashes count. These distinguish it from its victims."""
 
 REFUSED_REQUESTS = Counter(
     "wrenloft_held_back", "Requests answered without being sent: content held back"
--- a/packages/wrenloft-routing/tests/test_forward.py
+++ b/packages/wrenloft-routing/tests/test_forward.py
@@ -148,18 +148,18 @@
 class FakeStore:
     """A quarantine store that grants or refuses probes as a test says.
 
-    :param kept: calls of ``keep`` and ``drop``, in order.
+    :param calls: calls of ``keep`` and ``drop``, in order.
     """
 
     grants: bool = False
     claims: int = 0
-    kept: list[tuple[str, ContentId]] = field(default_factory=list)
+    calls: list[tuple[str, ContentId]] = field(default_factory=list)
 
     def keep(self, content: ContentId, crashes: Any) -> None:
-        self.kept.append(("keep", content))
+        self.calls.append(("keep", content))
 
     def drop(self, content: ContentId) -> None:
-        self.kept.append(("drop", content))
+        self.calls.append(("drop", content))
 
     async def claim(self, content: ContentId, seconds: float) -> bool:
         self.claims += 1
@@ -343,14 +343,14 @@
 @pytest.fixture
 def waits(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Record the service of each wait for spare capacity."""
-    noted: list[str] = []
+    services: list[str] = []
 
     async def wait(changed: asyncio.Event, request: PlacementRequest) -> None:
-        noted.append(request.service.name)
+        services.append(request.service.name)
         await wait_for_room(changed, request)
 
     monkeypatch.setattr("wrenloft_routing._gate._wait", wait)
-    return noted
+    return services
 
 
 class TestRateLimits:
@@ -446,14 +446,14 @@
         """Guards against refusing what can be answered in time a moment later."""
         harness = Harness(FakeReply([b"ok"]))
         harness.exhaust_limits(0, 1, 2, turn=0.05)
-        asking = asyncio.create_task(harness.send("safe"))
+        sending = asyncio.create_task(harness.send("safe"))
         await asyncio.sleep(0.05)
         harness.denied.clear()
         for number in range(3):
             state = harness.endpoints.get(AgentId(f"{PLAIN}-{number}"))
             assert state is not None
             state.denial = NO_DENIAL
-        await asking
+        await sending
         assert harness.sink.status == 200
 
     async def test_urgent_request_retries_where_a_less_urgent_one_was_denied(self) -> None:
@@ -871,10 +871,10 @@
         harness.forwarder.table = replace(TABLE, rules=(rule,))
         for state in harness.endpoints.of_service(PLAIN):
             harness.endpoints.record_full(state, read_clock())
-        grant_requests = asyncio.create_task(harness.send("safe", caller_timeout=4.0))
+        sending = asyncio.create_task(harness.send("safe", caller_timeout=4.0))
         await asyncio.sleep(0.02)
         self._crash(harness, "a", "b", "c")
-        outcome = await grant_requests
+        outcome = await sending
         assert isinstance(outcome, NotRun)
         assert outcome.step == "hold"
         assert not harness.attempts
