--- a/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_forward.py
@@ -144,7 +144,7 @@
             if not self._proof.allows_keys():
                 # The key may have been revoked without this node knowing it; sending the request
                 # would violate the bound on revocation.
-                reason = f"configuration last verified {self._proof.age:.2f} s ago"
+                reason = f"configuration proved {self._proof.age:.2f} s ago"
                 return NotRun("admit", reason, retry_after=0.3)
             caller = table.callers.get(request.key or "")
             if caller is None:
@@ -215,14 +215,14 @@
             attempts=progress.attempts,
             retry_after=round(retry_after, 2),
         )
-        reason = f"{quarantine.count} endpoints failed while running this request"
+        reason = f"{quarantine.count} endpoints fell under this request"
         if progress.may_have_run or progress.stream.begun:
             return Unknown("hold", reason, progress.peer)
         return NotRun("hold", reason, retry_after=retry_after)
 
     async def _place(self, progress: RequestProgress) -> Placed | Refused:
         if progress.left < _MIN_TIME_LEFT_SECONDS:
-            return Refused("not enough time left", 0)
+            return Refused("no time left", 0)
         # An endpoint that failed used up the objective. The next one gets a new objective, since a
         # late answer is better than a refusal while endpoints have spare capacity.
         untried = progress.attempts == 0 and progress.not_sent == 0
@@ -347,7 +347,7 @@
             if read_clock() >= progress.begin_by:
                 # Cancelled ahead of a version's deadline, which is no fault of the endpoint.
                 # Counted as a failure, it excluded every engine for 1.5 s after each swap.
-                return Lost("request did not begin before the version deadline", at_fault=False)
+                return Lost("not begun before the version is due", at_fault=False)
             return Lost("no answer in time", silent=True)
 
     def _silence_timeout(self, progress: RequestProgress, left: float) -> float:
@@ -358,7 +358,9 @@
             left = max(0.0, min(left, progress.begin_by - read_clock()))
         if not self._can_retry(progress, progress.attempts + 1):
             return left
-        return min(left, max(progress.rule.aim * _SILENCE_OBJECTIVES, left * _SILENCE_SHARE))
+        return min(
+            left, max(progress.rule.latency_objective * _SILENCE_OBJECTIVES, left * _SILENCE_SHARE)
+        )
 
     def _can_retry(self, progress: RequestProgress, attempts: int) -> bool:
         allowed = progress.rule.idempotent and not progress.is_probe
@@ -400,7 +402,7 @@
         if self._can_retry(progress, progress.attempts) and progress.left > _MIN_TIME_LEFT_SECONDS:
             if self._budget.withdraw(progress.service.name, read_clock()):
                 return None
-            reason = f"{reason}; no second attempt left in the budget"
+            reason = f"{reason}; no second try left in the budget"
         return Unknown(step, reason, progress.peer)
 
     async def _handle_reply(
@@ -420,7 +422,7 @@
             self._endpoints.record_limit(state, reply.named_limit, limit_known=progress.limit_known)
         try:
             if not reply.genuine:
-                return self._discard_reply(progress, placed, "answer belongs to another request")
+                return self._discard_reply(progress, placed, "answer is not this request's")
             if reply.status >= 500 and placed.chain:
                 self._record_loss(progress, placed, silent=True)  # perhaps of a later engine
             failed = reply.status >= 500 and self._can_retry(progress, progress.attempts)
@@ -433,7 +435,7 @@
             streams = reply.is_stream and reply.status < 300
             if progress.stream.begun and not streams:
                 # The body of an error response is not part of the stream of another engine.
-                reason = f"status {reply.status} after the stream had begun"
+                reason = f"status {reply.status} behind a begun stream"
                 return self._discard_reply(progress, placed, reason)
             if streams:
                 return await self._relay_stream(progress, placed, reply, sink)
@@ -488,7 +490,7 @@
             self._record_loss(progress, placed, silent=True)
             return Unknown("read", "deadline passed", progress.peer)
         except ReplyBrokenError as error:
-            return self._discard_reply(progress, placed, f"answer ended early: {error}")
+            return self._discard_reply(progress, placed, f"answer broke off: {error}")
         await self._release_connection(state, reply)
         self._endpoints.record_success(state)
         if reply.status < 500:
@@ -542,5 +544,5 @@
         """Record first attempts only; a retried request was late before it was sent."""
         if not progress.elapsed and progress.attempts == 1:
             seconds = progress.stream.begun_at - progress.request.arrived
-            in_time = seconds <= progress.rule.aim
+            in_time = seconds <= progress.rule.latency_objective
             self._gate.record_first_event(progress.service.name, in_time=in_time)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -261,7 +261,7 @@
         if verdict is Verdict.REFUSE:
             known = len(self._endpoints.of_service(request.service.name))
             if choice is None:
-                return Refused(f"none of {known} endpoints can take the request", 0)
+                return Refused(f"none of {known} endpoints can take it", 0)
             needed = count_seconds(choice.prediction, request.service.engine)
             return Refused(f"best of {len(snapshot.able)} needs {needed:.3f} s", len(snapshot.able))
         return None
@@ -309,7 +309,7 @@
             return None
         if not request.is_overdue:
             self._fresh_refused_at[request.service.name] = now
-        return Refused(f"rate limits allow a request in {turn.wait:.2f} s", 0, turn)
+        return Refused(f"rate limits leave room in {turn.wait:.2f} s", 0, turn)
 
     def _has_refused_fresh(self, service: ServiceName, now: float) -> bool:
         at = self._fresh_refused_at.get(service, -inf)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
@@ -53,7 +53,7 @@
         prompt_tokens=progress.request.prompt_tokens,
         since=since,
         elapsed=progress.elapsed,
-        latency_objective=progress.rule.aim,
+        latency_objective=progress.rule.latency_objective,
         deadline=progress.deadline,
         begun=progress.stream.begun,
     )
--- a/packages/wrenloft-routing/src/wrenloft_routing/_table.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_table.py
@@ -30,7 +30,7 @@
     """One routing rule.
 
     :param timeout: seconds after which every request has its final answer.
-    :param aim: the latency objective: seconds within which an answer has its full value.
+    :param latency_objective: seconds within which an answer has its full value.
     :param rank: 0 for the most urgent.
     :param max_attempts: endpoints that one request may be sent to.
     :param public: whether callers need no key.
@@ -43,7 +43,7 @@
     prefix: str
     kind: RuleKind
     timeout: float
-    aim: float
+    latency_objective: float
     rank: int
     targets: tuple[Target, ...]
     max_attempts: int = 1
--- a/packages/wrenloft-routing/tests/test_forward.py
+++ b/packages/wrenloft-routing/tests/test_forward.py
@@ -173,7 +173,7 @@
         "prefix": f"/{name}/",
         "kind": kind,
         "timeout": 0.8,
-        "aim": 0.2,
+        "latency_objective": 0.2,
         "rank": 1,
         "targets": (Target(service, 1.0),),
         "max_attempts": 2,
@@ -396,7 +396,7 @@
         harness.exhaust_limits(0, 1, 2)
         outcome = await harness.send("safe")
         assert isinstance(outcome, NotRun)
-        assert outcome.reason.startswith("rate limits allow a request in")
+        assert outcome.reason.startswith("rate limits leave room in")
         assert harness.sink.status == 503
         assert float(harness.sink.headers["Retry-After"]) > 0
         assert not waits
@@ -414,7 +414,7 @@
             harness.sink = FakeSink()
             outcome = await harness.send(rule)
             assert isinstance(outcome, NotRun)
-            assert outcome.reason.startswith("rate limits allow a request in")
+            assert outcome.reason.startswith("rate limits leave room in")
             assert len(harness.grant_requests) == MAX_DENIALS
 
     async def test_denied_request_uses_an_unlimited_endpoint(self) -> None:
@@ -588,7 +588,7 @@
         The first endpoint takes the request and never answers.
         """
         harness = Harness(5.0, FakeReply([b"ok"]))
-        rule = _rule("safe", RuleKind.SAFE, PLAIN, aim=0.02)
+        rule = _rule("safe", RuleKind.SAFE, PLAIN, latency_objective=0.02)
         harness.forwarder.table = RoutingTable(
             Revision(2), (rule,), TABLE.services, CallerLimits(), TABLE.callers, keyed=True
         )
@@ -843,7 +843,7 @@
         outcome = await harness.send("safe")
         assert isinstance(outcome, NotRun)
         assert (harness.sink.status, harness.attempts) == (503, [])
-        assert harness.sink.body.startswith(b"hold: 3 endpoints failed while running this request")
+        assert harness.sink.body.startswith(b"hold: 3 endpoints fell under this request")
         assert 55.0 < float(harness.sink.headers["Retry-After"]) <= 60.0
         harness.sink = FakeSink()
         await harness.send("safe", body=b"x", body_digest=b"x")
@@ -867,7 +867,7 @@
     async def test_crash_update_stops_a_waiting_repeat(self) -> None:
         """Guards against sending a request that was admitted before the third crash."""
         harness = Harness(FakeReply([b"ok"]))
-        rule = _rule("safe", RuleKind.SAFE, PLAIN, aim=4.0, timeout=4.0)
+        rule = _rule("safe", RuleKind.SAFE, PLAIN, latency_objective=4.0, timeout=4.0)
         harness.forwarder.table = replace(TABLE, rules=(rule,))
         for state in harness.endpoints.of_service(PLAIN):
             harness.endpoints.record_full(state, read_clock())
--- a/tests/platform/test_crashing_content.py
+++ b/tests/platform/test_crashing_content.py
@@ -256,7 +256,7 @@
     await fleet.wait_crashes(CRASHES)
     await asyncio.sleep(1.0)
     status, headers, body = await fleet.ask(KILLER, fleet.entries[2])
-    assert (status, body) == (503, b"hold: 3 endpoints failed while running this request\n")
+    assert (status, body) == (503, b"hold: 3 endpoints fell under this request\n")
     assert 50.0 < float(headers["Retry-After"]) <= 60.0
     node = fleet.entries[0].settings
     url = f"http://{node['ip']}:{node['internal_port']}/operators/v1/held"
