--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -244,12 +244,12 @@
     Safeguard(
         "routing: a leaving endpoint stays leaving",
         f"{ROUTING}/_endpoints.py",
-        "leaving = self._left.get(agent_id, -1) >= endpoint.born",
+        "leaving = self._left_born.get(agent_id, -1) >= endpoint.born",
         "leaving = False",
         f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints::test_leaving_outlives_a_lapsed_entry",
     ),
     Safeguard(
-        "routing: entries missing after an outage are doubted",
+        "routing: entries missing after an outage are kept",
         f"{ROUTING}/_endpoints.py",
         "if agent_id not in seen and trusted:",
         "if agent_id not in seen:",
@@ -257,7 +257,7 @@
         "::test_missing_entry_is_gone_only_if_the_reading_is_trusted",
     ),
     Safeguard(
-        "routing: a report that the version was given up goes before the list",
+        "routing: a report of a dropped version takes precedence over the list",
         f"{ROUTING}/_endpoints.py",
         "(report.version == 0 or report.version >= listed)",
         "report.version >= listed",
@@ -270,15 +270,15 @@
         "if not self._proof.allows_keys():",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestAdmission"
-        "::test_old_proof_refuses_keys_but_serves_public_rules",
+        "::test_stale_configuration_refuses_keys_but_serves_public_rules",
     ),
     Safeguard(
         "routing: what is not idempotent is not repeated",
         f"{ROUTING}/_forward.py",
-        "allowed = progress.rule.idempotent and not progress.on_trial",
-        "allowed = not progress.on_trial",
+        "allowed = progress.rule.idempotent and not progress.is_probe",
+        "allowed = not progress.is_probe",
         f"{ROUTING_TESTS}/test_forward.py::TestWholeAnswers"
-        "::test_unsafe_request_is_never_sent_twice",
+        "::test_unsafe_request_is_never_repeated",
     ),
     Safeguard(
         "routing: an answer must be this request's",
@@ -286,22 +286,22 @@
         "if not reply.genuine:",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestWholeAnswers"
-        "::test_unsafe_request_is_never_sent_twice",
+        "::test_unsafe_request_is_never_repeated",
     ),
     Safeguard(
         "routing: events follow on each other",
         f"{ROUTING}/_streams.py",
-        "if not _follow_on(events, pump.last):",
+        "if not _is_contiguous(events, stream.last_event):",
         "if False:",
-        f"{ROUTING_TESTS}/test_forward.py::TestStreams::test_wrong_continuation_is_never_joined",
+        f"{ROUTING_TESTS}/test_forward.py::TestStreams::test_wrong_continuation_is_rejected",
     ),
     Safeguard(
-        "routing: each naming keeps its deadline",
+        "routing: each announced version keeps its deadline",
         f"{ROUTING}/_gate.py",
         "known.append(wanted)",
         "known[:] = [wanted]",
         f"{ROUTING_TESTS}/test_forward.py::TestVersions"
-        "::test_later_version_does_not_put_off_an_earlier_deadline",
+        "::test_later_version_does_not_postpone_an_earlier_deadline",
     ),
     Safeguard(
         "routing: a chain is of one version",
@@ -309,7 +309,7 @@
         "return held[state.endpoint.agent_id].version == version",
         "return True",
         f"{ROUTING_TESTS}/test_chains.py::TestListAble"
-        "::test_parts_of_two_versions_are_never_joined",
+        "::test_versions_are_never_mixed_in_a_chain",
     ),
     Safeguard(
         "swarm: a chunk is checked before it is stored",
@@ -373,7 +373,7 @@
         "::test_request_on_a_closed_kept_alive_connection_is_sent_once",
     ),
     Safeguard(
-        "a later start of an endpoint begins anew",
+        "a later start of an endpoint keeps no earlier state",
         f"{ROUTING}/_endpoints.py",
         "if state is not None and endpoint.born > state.endpoint.born:",
         "if False:",
@@ -381,7 +381,7 @@
         "::test_endpoint_that_starts_again_has_left_nothing",
     ),
     Safeguard(
-        "word of an earlier incarnation is dropped",
+        "a report of an earlier incarnation is dropped",
         f"{ROUTING}/_endpoints.py",
         "if report.born >= state.endpoint.born:",
         "if True:",
@@ -397,7 +397,7 @@
         "::test_invalid_entry_does_not_replace_an_endpoint",
     ),
     Safeguard(
-        "what waits shares the room by chance",
+        "a request that waits takes spare capacity at random",
         f"{ROUTING}/_gate.py",
         "if queue.fresh + queue.late <= 1:",
         "if True:",
@@ -411,12 +411,12 @@
         f"{ROUTING_TESTS}/test_loads.py::TestPeerLoads::test_silent_node_stops_counting",
     ),
     Safeguard(
-        "a version that is due is no failure of the engine",
+        "a version deadline is no failure of the engine",
         f"{ROUTING}/_forward.py",
         "if read_clock() >= progress.begin_by:",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestVersions"
-        "::test_engine_is_not_blamed_for_a_version_that_is_due",
+        "::test_version_deadline_is_not_counted_as_an_engine_failure",
     ),
     Safeguard(
         "origin fetchers reserve their link for the origin",
@@ -639,19 +639,19 @@
         f"{POLICY_TESTS}/test_versions.py::TestPickSwapTime" "::test_swaps_are_spread_over_time",
     ),
     Safeguard(
-        "crashes told by other nodes count",
+        "crashes reported by other nodes count",
         f"{ROUTING}/_crash_ledger.py",
-        "if told.age < CRASH_TTL_SECONDS:",
+        "if reported.age < CRASH_TTL_SECONDS:",
         "if False:",
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestHold"
-        "::test_third_crash_seen_by_anybody_holds",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestQuarantine"
+        "::test_third_crash_seen_by_any_node_quarantines",
     ),
     Safeguard(
-        "the fall of one incarnation is one crash",
+        "a failure of one incarnation is one crash",
         f"{ROUTING}/_crash_ledger.py",
         "entry.crashes[incarnation] = joined",
         'entry.crashes[IncarnationId(f"{incarnation}{self.revision}")] = joined',
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestHold::test_one_fall_told_by_many_is_one_crash",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestQuarantine::test_failure_reported_by_many_nodes_is_one_crash",
     ),
     Safeguard(
         "a cleared crash stays cleared, in any order",
@@ -663,26 +663,24 @@
     Safeguard(
         "contents with crashes are bounded",
         f"{ROUTING}/_crash_ledger.py",
-        "while len(self._entries) > MOST_CONTENTS:",
+        "while len(self._entries) > MAX_CONTENTS:",
         "while False:",
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds"
-        "::test_hundred_thousand_contents_stay_within_bounds",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds" "::test_number_of_contents_is_bounded",
     ),
     Safeguard(
-        "what is held back is dropped last",
+        "quarantined contents are dropped last",
         f"{ROUTING}/_crash_ledger.py",
         "oldest = (each for each in self._entries if each not in self._suspects)",
         "oldest = iter(self._entries)",
-        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds"
-        "::test_hundred_thousand_contents_stay_within_bounds",
+        f"{ROUTING_TESTS}/test_crash_ledger.py::TestBounds" "::test_number_of_contents_is_bounded",
     ),
     Safeguard(
-        "a whole answer speaks for its content",
+        "a recent whole answer clears its content",
         f"{ROUTING}/_crash_guard.py",
-        "if ats and is_cleared_by_success(proven_at, max(ats)):",
+        "if crashed_at and is_cleared_by_success(proven_at, max(crashed_at)):",
         "if False:",
         f"{ROUTING_TESTS}/test_crash_guard.py"
-        "::test_poll_in_progress_at_each_engine_of_a_rack_is_not_held_back",
+        "::test_recently_successful_content_is_not_quarantined",
     ),
     Safeguard(
         "a content with more crashes explains those it shares",
@@ -692,18 +690,18 @@
         f"{POLICY_TESTS}/test_crashes.py::test_crashes_explained_by_another_content_do_not_count",
     ),
     Safeguard(
-        "a hold is stored by whoever saw a crash",
+        "a quarantine is stored by nodes that observed a crash",
         f"{ROUTING}/_crash_guard.py",
-        "if self._ledger.has_seen(content):",
+        "if self._ledger.has_own_crash(content):",
         "if False:",
-        f"{ROUTING_TESTS}/test_crash_guard.py::test_hold_is_stored_by_who_saw_a_crash",
+        f"{ROUTING_TESTS}/test_crash_guard.py::test_quarantine_is_stored_by_nodes_that_observed_a_crash",
     ),
     Safeguard(
-        "one trial at a time at a node",
+        "one probe at a time at a node",
         f"{ROUTING}/_crash_guard.py",
-        "self._trials[content] = read_clock()",
+        "self._probed_at[content] = read_clock()",
         "pass",
-        f"{ROUTING_TESTS}/test_crash_guard.py::test_one_trial_a_minute_in_the_whole_fleet",
+        f"{ROUTING_TESTS}/test_crash_guard.py::test_one_probe_a_minute_across_the_fleet",
     ),
     Safeguard(
         "probes become rarer with each crash",
@@ -713,35 +711,35 @@
         f"{POLICY_TESTS}/test_crashes.py::test_each_further_crash_doubles_the_wait",
     ),
     Safeguard(
-        "a trial has one try",
+        "a probe has one attempt",
         f"{ROUTING}/_forward.py",
-        "allowed = progress.rule.idempotent and not progress.on_trial",
+        "allowed = progress.rule.idempotent and not progress.is_probe",
         "allowed = progress.rule.idempotent",
-        f"{ROUTING_TESTS}/test_forward.py::TestHeldContent"
-        "::test_failure_of_a_trial_is_passed_on",
+        f"{ROUTING_TESTS}/test_forward.py::TestQuarantinedContent"
+        "::test_error_response_to_a_probe_is_forwarded",
     ),
     Safeguard(
-        "word that comes while a request waits is heeded",
+        "a crash update stops a request that waits",
         f"{ROUTING}/_forward.py",
-        "if not progress.on_trial and self._guard.find_hold(progress.content) is not None:",
+        "if not progress.is_probe and self._guard.find_quarantine(progress.content) is not None:",
         "if False:",
-        f"{ROUTING_TESTS}/test_forward.py::TestHeldContent"
-        "::test_word_that_comes_while_a_repeat_waits_for_room_is_heeded",
+        f"{ROUTING_TESTS}/test_forward.py::TestQuarantinedContent"
+        "::test_crash_update_stops_a_waiting_repeat",
     ),
     Safeguard(
-        "an endpoint that answers did not fall",
+        "an endpoint that answers has not failed",
         f"{ROUTING}/_failure_detector.py",
         "if liveness is Liveness.REFUSED:",
         "if liveness is not Liveness.SILENT:",
         f"{ROUTING_TESTS}/test_failure_detector.py"
-        "::test_broken_connection_to_a_live_endpoint_is_no_fall",
+        "::test_broken_connection_to_a_live_endpoint_is_no_failure",
     ),
     Safeguard(
-        "a request sent after a fall has no part in it",
+        "a request sent after a failure is not involved",
         f"{ROUTING}/_failure_detector.py",
-        "if sent_at <= losses.fell_at:",
+        "if sent_at <= losses.failed_at:",
         "if True:",
-        f"{ROUTING_TESTS}/test_failure_detector.py::test_request_sent_after_the_fall_had_no_part_in_it",
+        f"{ROUTING_TESTS}/test_failure_detector.py::test_request_sent_after_the_failure_is_not_involved",
     ),
     Safeguard(
         "an endpoint that is leaving may end",
@@ -749,22 +747,22 @@
         "if state.leaving or not (listed or silent):",
         "if False:",
         f"{ROUTING_TESTS}/test_failure_detector.py"
-        "::test_end_of_an_endpoint_that_was_leaving_is_no_fall",
+        "::test_end_of_a_leaving_endpoint_is_no_failure",
     ),
     Safeguard(
-        "a quick restart is a fall",
+        "a quick restart is a failure",
         f"{ROUTING}/_failure_detector.py",
         "return any(each.endpoint.incarnation != endpoint.incarnation for each in listed)",
         "return False",
-        f"{ROUTING_TESTS}/test_failure_detector.py::test_endpoint_that_was_quick_to_restart_has_fallen",
+        f"{ROUTING_TESTS}/test_failure_detector.py::test_restarted_endpoint_has_failed",
     ),
     Safeguard(
-        "a silent fall is found out by the next caller",
+        "a silent failure is detected by the next request",
         f"{ROUTING}/_forward.py",
-        "self._detector.note_unreachable(state)",
+        "self._detector.record_unreachable(state)",
         "pass",
-        f"{ROUTING_TESTS}/test_forward.py::TestHeldContent"
-        "::test_call_that_waits_at_a_dark_endpoint_is_counted_before_its_deadline",
+        f"{ROUTING_TESTS}/test_forward.py::TestQuarantinedContent"
+        "::test_request_at_an_unreachable_endpoint_is_counted_before_its_deadline",
     ),
     Safeguard(
         "a quarantine outlives every node",
@@ -790,35 +788,35 @@
         "::test_all_nodes_together_keep_to_the_limit_of_an_endpoint[1.8]",
     ),
     Safeguard(
-        "each try to a limited endpoint needs a grant",
+        "each attempt at a limited endpoint needs a grant",
         f"{ROUTING}/_forward.py",
-        "await self._take_grants(placed.states, wanted.urgency)",
+        "await self._request_grants(placed.states, placement.urgency)",
         "True",
-        f"{ROUTING_TESTS}/test_forward.py::TestRateLimits::test_every_try_asks_for_a_grant",
+        f"{ROUTING_TESTS}/test_forward.py::TestRateLimits::test_every_attempt_requests_a_grant",
     ),
     Safeguard(
-        "an endpoint without a grant is passed over",
+        "an endpoint that denied a grant is skipped",
         f"{ROUTING}/_gate.py",
-        "states = [each for each in usable if each.denial.ask_after <= now]",
+        "states = [each for each in usable if each.denial.retry_at <= now]",
         "states = usable",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_request_goes_on_to_an_endpoint_with_room_at_once",
+        "::test_request_moves_to_an_endpoint_with_capacity_at_once",
     ),
     Safeguard(
-        "a request that limits leave no turn is refused at once",
+        "a request that limits give no timely turn is refused at once",
         f"{ROUTING}/_gate.py",
         "if all(each.limited for each in loads):",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_request_without_a_turn_is_refused_at_once",
+        "::test_request_without_a_timely_turn_is_refused_at_once",
     ),
     Safeguard(
-        "a request asks few of many limited endpoints",
+        "a request tries few of many limited endpoints",
         f"{ROUTING}/_gate.py",
-        "return self.denials < MOST_DENIALS",
+        "return self.denials < MAX_DENIALS",
         "return True",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_request_asks_few_of_many_limited_endpoints",
+        "::test_request_tries_few_of_many_limited_endpoints",
     ),
     Safeguard(
         "a limiter's bucket begins empty",
@@ -887,15 +885,15 @@
         "return self.limits.find_rate(state.endpoint.incarnation) if self.limits else None",
         "return next((each.rate for each in self.limits.list_in_force()), None)",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_endpoint_that_started_again_is_not_bound",
+        "::test_restarted_endpoint_is_not_limited",
     ),
     Safeguard(
-        "an urgent request asks where a less urgent one was denied",
+        "an urgent request retries where a less urgent one was denied",
         f"{ROUTING}/_gate.py",
         "if choice is None and opening is not None and request.urgency < opening.urgency:",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
-        "::test_urgent_request_asks_where_a_less_urgent_one_was_denied",
+        "::test_urgent_request_retries_where_a_less_urgent_one_was_denied",
     ),
     Safeguard(
         "an agent looks nodes up that it was never told of",
--- a/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
@@ -1,4 +1,4 @@
-"""Engines that can take a request now: alone, or in a chain that together holds every layer."""
+"""Engines that can take a request: alone, or in a chain that together holds every layer."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 from wrenloft_core import AgentId
 from wrenloft_policy import ChainPart, LayerHolder, LayerSpan, complete_chain
-from wrenloft_routing._endpoints import EndpointState, HeldWeights
+from wrenloft_routing._endpoints import EndpointState, EngineWeights
 from wrenloft_routing._table import BackendService
 
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Able:
+class Eligible:
     """An endpoint that can take a request.
 
     :param version: the version on which the request would begin, 0 for a plain service.
@@ -31,48 +31,50 @@
     chain: tuple[ChainStage, ...] = ()
 
 
-def list_able(
+def list_eligible(
     service: BackendService,
     states: Sequence[EndpointState],
     required: int,
     now: float,
     random: Random,
-) -> list[Able]:
+) -> list[Eligible]:
     """Return the endpoints that can take a request of a service.
 
-    Chains that cross regions are named only if nothing else can take it: a token crosses at
-    every step.
+    Chains that cross regions are returned only if nothing else can take it, since each token
+    crosses between regions at every step.
 
-    :param states: endpoints that are not kept out for another reason.
+    :param states: endpoints that are not excluded for another reason.
     :param required: the oldest version on which a request may begin.
     """
     if service.model is None:
-        return [Able(each) for each in states]
-    held = {each.endpoint.agent_id: each.weights_of(service.model, now) for each in states}
+        return [Eligible(each) for each in states]
+    held = {each.endpoint.agent_id: each.find_weights(service.model, now) for each in states}
     serving = [
         each for each in states if _is_serving(held[each.endpoint.agent_id], max(1, required))
     ]
-    able: list[Able] = []
-    far: list[Able] = []
+    eligible: list[Eligible] = []
+    cross_region: list[Eligible] = []
     for state in serving:
         weights = held[state.endpoint.agent_id]
-        whole = weights.span is not None and weights.span.contains(LayerSpan(0, service.layers))
-        if whole:
-            able.append(Able(state, weights.version))
+        is_complete = weights.span is not None and weights.span.contains(
+            LayerSpan(0, service.layers)
+        )
+        if is_complete:
+            eligible.append(Eligible(state, weights.version))
             continue
         peers = [each for each in serving if _has_version(held, each, weights.version)]
         chain = _find_chain(service, state, peers, held, random)
         if chain:
             crosses = any(_measure_distance(state, each.state) > 1 for each in chain)
-            (far if crosses else able).append(Able(state, weights.version, chain))
-    return able or far
+            (cross_region if crosses else eligible).append(Eligible(state, weights.version, chain))
+    return eligible or cross_region
 
 
-def _is_serving(weights: HeldWeights, least: int) -> bool:
+def _is_serving(weights: EngineWeights, least: int) -> bool:
     return weights.span is not None and weights.version >= least
 
 
-def _has_version(held: Mapping[AgentId, HeldWeights], state: EndpointState, version: int) -> bool:
+def _has_version(held: Mapping[AgentId, EngineWeights], state: EndpointState, version: int) -> bool:
     """Chains of two versions would mix their weights in one token."""
     return held[state.endpoint.agent_id].version == version
 
@@ -81,7 +83,7 @@
     service: BackendService,
     first: EndpointState,
     peers: Sequence[EndpointState],
-    held: Mapping[AgentId, HeldWeights],
+    held: Mapping[AgentId, EngineWeights],
     random: Random,
 ) -> tuple[ChainStage, ...]:
     holders: dict[str, LayerHolder] = {}
@@ -91,7 +93,7 @@
         if span is not None:
             key = each.endpoint.agent_id
             distance = _measure_distance(first, each)
-            holders[key] = LayerHolder(key, span, distance, each.later_parts)
+            holders[key] = LayerHolder(key, span, distance, each.downstream_requests)
             states[key] = each
     own = holders.pop(first.endpoint.agent_id)
     parts = complete_chain(own, list(holders.values()), service.layers, random)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Crashes by content, as all entry nodes know them together."""
+"""Crashes by content, as known to all entry nodes together."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -18,23 +18,25 @@
     merge_crash,
 )
 
-MOST_CONTENTS = 1024
-"""Contents with crashes that are kept, about 2 MB at the most; the fall of a whole rack leaves some
-hundred, of which all but the guilty ones are dropped first."""
+MAX_CONTENTS = 1024
+"""Contents with crashes that are kept, about 2 MB at most. The failure of a whole rack leaves some
+hundred; those below the quarantine threshold are dropped first."""
 
-MOST_CRASHES = 16
-"""Crashes kept of one content: three hold it back, those of the moments until all nodes know and
-those of trials, four in the ten minutes for which they count, tell it from its victims."""
+MAX_CRASHES_PER_CONTENT = 16
+"""Crashes kept per content: three for its quarantine, those until all nodes know of it, and four
+probes in the ten minutes for which crashes count. These distinguish it from its victims."""
 
-HELD_BACK = Counter("wrenloft_held_back", "Requests answered without being sent: content held back")
-HELD_WRONGLY = Counter(
+REFUSED_REQUESTS = Counter(
+    "wrenloft_held_back", "Requests answered without being sent: content held back"
+)
+WRONGLY_REFUSED_REQUESTS = Counter(
     "wrenloft_held_back_wrongly", "Of those, requests whose content has had a whole answer since"
 )
-HELD = Gauge("wrenloft_contents_held", "Contents that are held back now")
+QUARANTINED = Gauge("wrenloft_contents_held", "Contents that are held back now")
 
 
 class CrashSource(Enum):
-    """Who told of a content's latest crash."""
+    """The origin of the report of a content's latest crash."""
 
     OWN = "own"
     PEER = "peer"
@@ -42,34 +44,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldCrash:
-    """A crash as one node tells another; clocks differ, so its age is told."""
+class ReportedCrash:
+    """A crash as published to other nodes, with its age in seconds, since clocks differ."""
 
     age: float
-    standing: CrashStatus
+    status: CrashStatus
 
 
-CrashNews = dict[ContentId, dict[IncarnationId, ToldCrash]]
+CrashUpdates = dict[ContentId, dict[IncarnationId, ReportedCrash]]
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
-    """A content that is held back.
+class Quarantine:
+    """A content that is quarantined.
 
-    :param count: endpoints that fell under it.
-    :param crash_ats: when they did.
-    :param source: who told of the latest.
+    :param count: endpoints that failed while running it.
+    :param crash_times: times of these failures.
+    :param source: of the report of the latest one.
     """
 
     content: ContentId
     count: int
-    crash_ats: tuple[float, ...]
+    crash_times: tuple[float, ...]
     source: CrashSource
 
     @property
     def age(self) -> float:
         """Seconds since the latest crash."""
-        return read_clock() - max(self.crash_ats)
+        return read_clock() - max(self.crash_times)
 
 
 @dataclass(slots=True)
@@ -78,18 +80,18 @@
     revision: int = 0
     source: CrashSource = CrashSource.OWN
     own: bool = False
-    held_back: int = 0
+    refused: int = 0
 
 
 class CrashLedger:
     """Crashes by content.
 
-    Each node sees the falls under its own attempts only; a request that is repeated at nine nodes
-    would crash three engines at each. So what any of them has seen counts at all. Words are joined
-    in any order and any number of times with the same result: a relay that died, lagged or told
-    twice changes nothing once the next one has told.
+    Each node observes only the failures under its own attempts, and a request that is repeated at
+    nine nodes would crash three engines at each. The crashes that all nodes observed therefore
+    count together. Reports merge in any order and any number of times with the same result, so that
+    a relay that fails, lags or sends twice changes nothing once the next one has sent its updates.
 
-    :param on_change: called with each content about which something new is known.
+    :param on_change: called with each content whose crashes have changed.
     """
 
     def __init__(self) -> None:
@@ -97,7 +99,7 @@
         self.revision = 0
         self._entries: OrderedDict[ContentId, _Entry] = OrderedDict()
         self._suspects: set[ContentId] = set()
-        HELD.set_function(lambda: len(self.list_holds()))
+        QUARANTINED.set_function(lambda: len(self.list_quarantines()))
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -105,7 +107,7 @@
     def record(
         self, content: ContentId, incarnation: IncarnationId, crash: Crash, source: CrashSource
     ) -> None:
-        """Take one crash, seen here or told."""
+        """Record one crash, observed here or reported."""
         entry = self._entries.get(content) or _Entry()
         known = entry.crashes.get(incarnation)
         joined = merge_crash(known, crash)
@@ -113,19 +115,19 @@
         if joined == known:
             return
         if joined.status is not CrashStatus.COUNTED:
-            self._settle(entry, joined.status)
+            self._count_wrong_refusals(entry, joined.status)
         entry.crashes[incarnation] = joined
         entry.source = source
         self._entries[content] = entry
         self._trim(entry)
-        self._note_change(content, entry)
+        self._record_change(content, entry)
 
     def _trim(self, entry: _Entry) -> None:
-        """Keep the youngest crashes that count."""
-        while len(entry.crashes) > MOST_CRASHES:
+        """Keep the latest crashes that count."""
+        while len(entry.crashes) > MAX_CRASHES_PER_CONTENT:
             del entry.crashes[min(entry.crashes, key=lambda each: _rank(entry.crashes[each]))]
 
-    def _note_change(self, content: ContentId, entry: _Entry) -> None:
+    def _record_change(self, content: ContentId, entry: _Entry) -> None:
         self.revision += 1
         entry.revision = self.revision
         self._entries.move_to_end(content)
@@ -134,12 +136,12 @@
             self._suspects.add(content)
         else:
             self._suspects.discard(content)
-        while len(self._entries) > MOST_CONTENTS:
+        while len(self._entries) > MAX_CONTENTS:
             self._drop(self._pick_dropped())
         self.on_change(content)
 
     def _pick_dropped(self) -> ContentId:
-        """Return the content of which nothing was heard for longest, a suspect only at last."""
+        """Return the content without changes for longest, a suspect only if there is no other."""
         oldest = (each for each in self._entries if each not in self._suspects)
         return next(oldest, next(iter(self._entries)))
 
@@ -148,8 +150,8 @@
         self._suspects.discard(content)
         self.on_change(content)
 
-    def excuse(self, content: ContentId, standing: CrashStatus) -> bool:
-        """Let a content's crashes count no longer; return whether any did."""
+    def dismiss(self, content: ContentId, status: CrashStatus) -> bool:
+        """Stop counting a content's crashes; return whether any counted."""
         entry = self._entries.get(content)
         if entry is None:
             return False
@@ -159,63 +161,63 @@
             if crash.status is CrashStatus.COUNTED
         ]
         for incarnation, crash in counting:
-            self.record(content, incarnation, Crash(crash.at, standing), entry.source)
+            self.record(content, incarnation, Crash(crash.at, status), entry.source)
         return bool(counting)
 
-    def _settle(self, entry: _Entry, standing: CrashStatus) -> None:
-        if standing is CrashStatus.SUCCEEDED:
-            HELD_WRONGLY.inc(entry.held_back)
-        entry.held_back = 0
+    def _count_wrong_refusals(self, entry: _Entry, status: CrashStatus) -> None:
+        if status is CrashStatus.SUCCEEDED:
+            WRONGLY_REFUSED_REQUESTS.inc(entry.refused)
+        entry.refused = 0
 
-    def merge(self, news: CrashNews, source: CrashSource) -> None:
-        """Take what another node, or the store, tells."""
+    def merge(self, updates: CrashUpdates, source: CrashSource) -> None:
+        """Merge the updates of another node or of the store."""
         now = read_clock()
-        for content, crashes in news.items():
-            for incarnation, told in crashes.items():
-                if told.age < CRASH_TTL_SECONDS:
-                    crash = Crash(now - told.age, told.standing)
+        for content, crashes in updates.items():
+            for incarnation, reported in crashes.items():
+                if reported.age < CRASH_TTL_SECONDS:
+                    crash = Crash(now - reported.age, reported.status)
                     self.record(content, incarnation, crash, source)
 
-    def list_changes(self, since: int) -> CrashNews:
-        """Return what has changed after a revision of this ledger, to be told."""
+    def list_changes(self, since: int) -> CrashUpdates:
+        """Return the changes after a revision of this ledger, for publication."""
         if since == self.revision:
             return {}
         now = read_clock()
         return {
-            content: self.tell(content, now)
+            content: self.report_crashes(content, now)
             for content, entry in self._entries.items()
             if entry.revision > since
         }
 
-    def tell(self, content: ContentId, now: float) -> dict[IncarnationId, ToldCrash]:
-        """Return a content's crashes as they are told to others."""
+    def report_crashes(self, content: ContentId, now: float) -> dict[IncarnationId, ReportedCrash]:
+        """Return a content's crashes for publication."""
         entry = self._entries.get(content) or _Entry()
         return {
-            incarnation: ToldCrash(now - crash.at, crash.status)
+            incarnation: ReportedCrash(now - crash.at, crash.status)
             for incarnation, crash in entry.crashes.items()
         }
 
-    def has_seen(self, content: ContentId) -> bool:
-        """Whether a crash of a content was seen by this node itself."""
+    def has_own_crash(self, content: ContentId) -> bool:
+        """Return whether this node itself observed a crash of a content."""
         entry = self._entries.get(content)
         return entry is not None and entry.own
 
     def list_crash_times(self, content: ContentId) -> list[float]:
-        """Return when endpoints fell under a content, for crashes that count."""
+        """Return the times of a content's crashes that count."""
         entry = self._entries.get(content) or _Entry()
         return [each.at for each in entry.crashes.values() if each.status is CrashStatus.COUNTED]
 
-    def count_held_back(self, content: ContentId) -> None:
+    def count_refusal(self, content: ContentId) -> None:
         """Count a request that was answered without being sent."""
-        HELD_BACK.inc()
+        REFUSED_REQUESTS.inc()
         entry = self._entries.get(content)
         if entry is not None:
-            entry.held_back += 1
+            entry.refused += 1
 
-    def find_hold(self, content: ContentId) -> Hold | None:
-        """Return why a content is held back, ``None`` if it is not.
+    def find_quarantine(self, content: ContentId) -> Quarantine | None:
+        """Return the quarantine of a content, ``None`` if there is none.
 
-        Most contents have no crash; for them this is one look into a set.
+        Most contents have no crash and cost a single set lookup.
         """
         if content not in self._suspects:
             return None
@@ -225,16 +227,18 @@
         count = count_unexplained_crashes(entry.crashes, others, now)
         if count < CRASHES_TO_QUARANTINE:
             return None
-        ats = tuple(entry.crashes[each].at for each in list_counted_crashes(entry.crashes, now))
-        return Hold(content, count, ats, entry.source)
-
-    def list_holds(self) -> list[Hold]:
-        """Return all contents that are held back now."""
-        holds = (self.find_hold(each) for each in sorted(self._suspects))
-        return [each for each in holds if each is not None]
-
-    def drop_old(self) -> None:
-        """Forget contents whose crashes no longer count."""
+        crash_times = tuple(
+            entry.crashes[each].at for each in list_counted_crashes(entry.crashes, now)
+        )
+        return Quarantine(content, count, crash_times, entry.source)
+
+    def list_quarantines(self) -> list[Quarantine]:
+        """Return all quarantines in force."""
+        quarantines = (self.find_quarantine(each) for each in sorted(self._suspects))
+        return [each for each in quarantines if each is not None]
+
+    def drop_expired(self) -> None:
+        """Drop contents whose crashes no longer count."""
         now = read_clock()
         for content, entry in list(self._entries.items()):
             if all(now - each.at >= CRASH_TTL_SECONDS for each in entry.crashes.values()):
--- a/packages/wrenloft-routing/src/wrenloft_routing/_crash_routes.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_crash_routes.py
@@ -1,4 +1,4 @@
-"""What operators see of contents that are held back, and how they lift one."""
+"""The operators' routes to list and lift quarantines."""
 
 import logging
 
@@ -10,11 +10,12 @@
 
 _LOG = logging.getLogger(__name__)
 
-HELD_PATH = "/operators/v1/held"
+QUARANTINE_PATH = "/operators/v1/held"
 
 
 class CrashRoutes:
-    """Lists and lifts on the internal address; a lift reaches the other nodes as crashes do."""
+    """List and lift quarantines on the internal address; other nodes receive a lift as an
+    update."""
 
     def __init__(self, ledger: CrashLedger, guard: CrashGuard) -> None:
         self._ledger = ledger
@@ -22,7 +23,7 @@
 
     def routes(self) -> list[web.RouteDef]:
         """Return the operators' routes."""
-        return [web.get(HELD_PATH, self._list), web.post(HELD_PATH, self._lift)]
+        return [web.get(QUARANTINE_PATH, self._list), web.post(QUARANTINE_PATH, self._lift)]
 
     async def _list(self, _: web.Request) -> web.Response:
         rows = [
@@ -31,9 +32,9 @@
                 "crashes": each.count,
                 "age_s": round(each.age, 1),
                 "source": each.source.value,
-                "trial_in_s": round(self._guard.measure_return(each), 1),
+                "trial_in_s": round(self._guard.measure_retry_after(each), 1),
             }
-            for each in self._ledger.list_holds()
+            for each in self._ledger.list_quarantines()
         ]
         return web.json_response({"held": rows})
 
@@ -44,5 +45,5 @@
             return web.json_response({"error": 'body is not {"lift": "CONTENT"}'}, status=400)
         if not self._guard.lift(content):
             return web.json_response({"error": f"{content} is not held back"}, status=404)
-        note(_LOG, "hold lifted", content=content)
+        note(_LOG, "quarantine lifted", content=content)
         return web.json_response({"lifted": content})
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -1,4 +1,4 @@
-"""Waiting for room at an endpoint: most urgent first, briefly, refused early."""
+"""Admission to endpoints: requests wait briefly by urgency, or are refused early."""
 
 import asyncio
 from collections.abc import Callable, Collection, Sequence
@@ -28,41 +28,42 @@
     is_version_required,
     predict_first_byte,
 )
-from wrenloft_routing._chains import Able, ChainStage, list_able
+from wrenloft_routing._chains import ChainStage, Eligible, list_eligible
 from wrenloft_routing._endpoints import Endpoints, EndpointState
 from wrenloft_routing._loads import QueueLength
 from wrenloft_routing._snapshot import Opening, Snapshot
 from wrenloft_routing._table import BackendService
 
-WORK_SECONDS = 0.03
-"""Seconds a plain service works on a request, until answers have shown better."""
+DEFAULT_WORK_SECONDS = 0.03
+"""Seconds of work on a request at a plain service, until answers give an estimate."""
 
 _WORK_WEIGHT = 0.05
-"""Weight of one answer in the running mean: the last 20 answers count most."""
+"""Weight of one answer in the exponential moving average, about the last 20 answers."""
 
-MOST_DENIALS = 5
-"""Grants denied in a row after which a request stops asking. Each takes a few milliseconds; where
-all endpoints are limited and used up, asking every one of them would be a wait by itself."""
+MAX_DENIALS = 5
+"""Grants denied in a row after which a request stops requesting them. Each takes a few
+milliseconds, so that asking every endpoint would delay the refusal where all are limited."""
 
 FRESH_REFUSED_SECONDS = 1.0
-"""How long after a fresh request found no room at limited endpoints late ones do not wait there."""
+"""Seconds for which overdue requests do not wait at limited endpoints after a fresh request was
+refused there."""
 
-_LEAST_WAIT = 0.005
-"""Shortest pause between two looks at the endpoints, in seconds."""
+_MIN_WAIT_SECONDS = 0.005
+"""Shortest interval between two checks of the endpoints."""
 
 
 @dataclass(slots=True, eq=False)
 class PlacementRequest:
-    """A request that wants an endpoint.
+    """A request to be placed at an endpoint.
 
     :param rank: 0 for the most urgent.
     :param since: when it began to wait.
-    :param spent: seconds from the caller's first attempt until then.
-    :param aim: seconds from ``since`` within which it has its full worth.
-    :param deadline: when nobody waits any more.
-    :param begun: whether the caller has part of the answer; it then goes before all others and
-        is refused only if nobody can go on.
-    :param not_before: until when it leaves the room that there is to others that wait.
+    :param elapsed: seconds from the caller's first attempt until then.
+    :param latency_objective: seconds from ``since`` within which an answer has its full value.
+    :param deadline: when the caller times out.
+    :param begun: whether the caller has part of the answer; the request then goes before all others
+        and is refused only if no endpoint can resume it.
+    :param not_before: until when it leaves spare capacity to other waiting requests.
     :param denials: grants that limited endpoints denied it since it last waited.
     """
 
@@ -70,43 +71,43 @@
     rank: int
     prompt_tokens: float
     since: float
-    spent: float
-    aim: float
+    elapsed: float
+    latency_objective: float
     deadline: float
     begun: bool = False
     not_before: float = 0.0
     denials: int = 0
 
     @property
-    def asks_limited(self) -> bool:
-        """Whether it may still ask for grants, and not only go where none is needed."""
-        return self.denials < MOST_DENIALS
+    def can_request_grants(self) -> bool:
+        """Whether it can still request grants; otherwise it only uses unlimited endpoints."""
+        return self.denials < MAX_DENIALS
 
     @property
     def order(self) -> tuple[int, bool]:
-        """What goes first: the most urgent, and of these those that can still be in time."""
+        """The sort key of waiting requests: by rank, then those that can be in time first."""
         if self.begun:
             return -1, False
-        return self.rank, self.is_late
+        return self.rank, self.is_overdue
 
     @property
     def urgency(self) -> int:
-        """The same as one number; the lowest goes first."""
-        rank, late = self.order
-        return 2 * rank + late
+        """The order as one number; the lowest goes first."""
+        rank, overdue = self.order
+        return 2 * rank + overdue
 
     @property
-    def is_late(self) -> bool:
-        """Whether the answer comes late in any case."""
-        return not self.begun and self.spent > self.aim * QUEUE_SHARE
+    def is_overdue(self) -> bool:
+        """Whether the answer can't be in time."""
+        return not self.begun and self.elapsed > self.latency_objective * QUEUE_SHARE
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """The endpoint that was chosen, and what the choice was made from.
+    """The chosen endpoint, and the basis of the choice.
 
     :param version: the only version on which the request may begin there, ``None`` for any. The
-        endpoint checks it: what this node knows of its version may be old.
+        endpoint verifies it, since this node's information may be outdated.
     :param chain: the engines that it goes through, empty if the endpoint alone suffices.
     """
 
@@ -124,11 +125,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitedTurn:
-    """What a request can expect of endpoints whose rate limits are used up.
+    """The expected turn of a request at endpoints whose rate limits are used up.
 
-    :param wait: seconds until it would have its turn.
-    :param rate: requests a second that these endpoints take together.
-    :param waiting: requests that wait for them anywhere.
+    :param wait: seconds until its turn.
+    :param rate: total requests per second that these endpoints take.
+    :param waiting: requests that wait for them at all nodes.
     """
 
     wait: float
@@ -140,7 +141,7 @@
 class Refused:
     """No endpoint can answer in time.
 
-    :param turn: set if only rate limits stand against it.
+    :param turn: set if only rate limits prevent it.
     """
 
     reason: str
@@ -149,11 +150,11 @@
 
 
 class Gate:
-    """Places requests at endpoints.
+    """Place requests at endpoints.
 
-    :param version_seconds: from naming a version until requests may begin on it only.
-    :param count_nodes: returns how many live entry nodes send to the same endpoints.
-    :param update_interval: returns the seconds until other nodes have heard of what was sent.
+    :param version_seconds: from the announcement of a version until requests may begin only on it.
+    :param count_nodes: returns the number of live entry nodes that send to the same endpoints.
+    :param update_interval: returns the seconds until other nodes know of sent requests.
     """
 
     def __init__(
@@ -169,28 +170,28 @@
         self._version_seconds = version_seconds
         self._waiting: dict[ServiceName, list[PlacementRequest]] = {}
         self._work: dict[ServiceName, float] = {}
-        self._aim_shares: dict[ServiceName, float] = {}
+        self._objective_shares: dict[ServiceName, float] = {}
         self._wanted: dict[str, list[WantedVersion]] = {}
         self._count_nodes = count_nodes
         self._update_interval = update_interval
         self._fresh_refused_at: dict[ServiceName, float] = {}
         self._snapshots: dict[tuple[ServiceName, bool], Snapshot] = {}
 
-    def record_work(self, service: ServiceName, seconds: float) -> None:
-        """Take the time that a plain service needed for an answer."""
-        mean = self._work.get(service, WORK_SECONDS)
+    def record_work_seconds(self, service: ServiceName, seconds: float) -> None:
+        """Record the time that a plain service needed for an answer."""
+        mean = self._work.get(service, DEFAULT_WORK_SECONDS)
         self._work[service] = mean + _WORK_WEIGHT * (seconds - mean)
 
     def record_first_event(self, service: ServiceName, *, in_time: bool) -> None:
-        """Take whether a request that could be in time had its first event in time."""
-        share = self._aim_shares.get(service, MAX_OBJECTIVE_SHARE)
-        self._aim_shares[service] = adjust_objective_share(share, in_time=in_time)
+        """Record whether a request that could be in time had its first event in time."""
+        share = self._objective_shares.get(service, MAX_OBJECTIVE_SHARE)
+        self._objective_shares[service] = adjust_objective_share(share, in_time=in_time)
 
-    def name_version(self, model: str, wanted: WantedVersion) -> bool:
-        """Take a version that operators named; return whether it is newer than all known.
+    def announce_version(self, model: str, wanted: WantedVersion) -> bool:
+        """Record an announced version; return whether it is newer than all known ones.
 
-        Each has its own deadline: a third version named before the second is in service does
-        not put off the second's.
+        Each has its own deadline: announcing a third version before the second is in service does
+        not postpone the deadline of the second.
         """
         known = self._wanted.setdefault(model, [])
         if known and known[-1].number >= wanted.number:
@@ -198,7 +199,7 @@
         known.append(wanted)
         return True
 
-    def required_version(self, service: BackendService, now: float) -> int:
+    def find_required_version(self, service: BackendService, now: float) -> int:
         """Return the oldest version on which requests may begin now, 0 for any."""
         due = [
             each.number
@@ -210,22 +211,24 @@
     def measure_begin_limit(self, state: EndpointState, service: BackendService) -> float:
         """Return the seconds after which a request may no longer begin at an endpoint.
 
-        Infinite if no version newer than the endpoint's is named.
+        Infinite if no version newer than the endpoint's is announced.
         """
         if service.model is None:
             return float("inf")
         now = read_clock()
-        version = state.weights_of(service.model, now).version
+        version = state.find_weights(service.model, now).version
         wanted = self._wanted.get(service.model, ())
-        dues = [each.seen_at + self._version_seconds for each in wanted if each.number > version]
-        return min(dues, default=float("inf")) - now
+        deadlines = [
+            each.seen_at + self._version_seconds for each in wanted if each.number > version
+        ]
+        return min(deadlines, default=float("inf")) - now
 
     async def place(
         self, request: PlacementRequest, tried: Collection[AgentId]
     ) -> Placed | Refused:
-        """Return an endpoint with room, waiting a moment for one if it must."""
-        line = self._waiting.setdefault(request.service.name, [])
-        line.append(request)
+        """Return an endpoint with spare capacity, waiting briefly for one if necessary."""
+        queue = self._waiting.setdefault(request.service.name, [])
+        queue.append(request)
         try:
             while True:
                 changed = self._endpoints.changed
@@ -234,19 +237,21 @@
                     return outcome
                 await _wait(changed, request)
         finally:
-            line.remove(request)
+            queue.remove(request)
 
     def _decide(
         self, request: PlacementRequest, tried: Collection[AgentId]
     ) -> Placed | Refused | None:
         now = read_clock()
-        snapshot = self._look(request.service, tried, now, limited=request.asks_limited)
-        choice, verdict = self._weigh(request, snapshot, now)
+        snapshot = self._get_snapshot(
+            request.service, tried, now, limited=request.can_request_grants
+        )
+        choice, verdict = self._choose_endpoint(request, snapshot, now)
         if verdict is Verdict.SEND and choice is not None:
             chosen = snapshot.find(choice.key)
             snapshot.count_sent(choice.key, request.prompt_tokens)
             return self._place_at(request, chosen, choice.prediction, len(snapshot.able), now)
-        opening = snapshot.opening if request.asks_limited else None
+        opening = snapshot.opening if request.can_request_grants else None
         if choice is None and opening is not None and request.urgency < opening.urgency:
             idle = self._predict_idle(request, snapshot.work)
             return self._place_at(request, opening.least_urgent, idle, 1, now)
@@ -264,27 +269,27 @@
     def _place_at(
         self,
         request: PlacementRequest,
-        chosen: Able,
+        chosen: Eligible,
         prediction: Prediction,
         candidates: int,
         now: float,
     ) -> Placed:
-        # Engines of a chain are told the version as well: one that has just gone on to the next
-        # version would otherwise run its layers of that.
-        insisted = self.required_version(request.service, now) or chosen.chain
-        version = chosen.version if insisted else None
+        # Pin the version for all engines of a chain: one that has just swapped would otherwise run
+        # its layers of the next version.
+        pinned = self.find_required_version(request.service, now) or chosen.chain
+        version = chosen.version if pinned else None
         return Placed(chosen.state, prediction, candidates, version, chosen.chain)
 
     def _find_turn(
         self, request: PlacementRequest, snapshot: Snapshot, now: float
     ) -> LimitedTurn | None:
-        """Return what a request can expect if nothing but rate limits stands against it."""
+        """Return the expected turn of a request if only rate limits prevent sending it."""
         opening = snapshot.opening
         if opening is None:
             return None
         service = request.service.name
         ahead = self._count_ahead(request)
-        elsewhere = self._endpoints.others.queue_of(service)
+        elsewhere = self._endpoints.peer_loads.queue_of(service)
         wait = max(0.0, opening.at - now) + (ahead + elsewhere.fresh) / opening.rate
         waiting = len(self._waiting[service]) + elsewhere.fresh + elsewhere.late
         return LimitedTurn(wait, opening.rate, waiting)
@@ -292,17 +297,17 @@
     def _decide_turn(
         self, request: PlacementRequest, turn: LimitedTurn, work: float, now: float
     ) -> Refused | None:
-        idle_seconds = self._measure_least(request, work)
-        held, left = now - request.since, request.deadline - now
+        idle_seconds = self._measure_idle_latency(request, work)
+        waited, left = now - request.since, request.deadline - now
         verdict = decide_limited_dispatch(
-            turn.wait, idle_seconds, held, request.spent, request.aim, left
+            turn.wait, idle_seconds, waited, request.elapsed, request.latency_objective, left
         )
-        if request.is_late and self._has_refused_fresh(request.service.name, now):
-            verdict = Verdict.REFUSE  # fresh ones take all there is
+        if request.is_overdue and self._has_refused_fresh(request.service.name, now):
+            verdict = Verdict.REFUSE  # fresh requests use all capacity
         if verdict is Verdict.QUEUE:
             request.denials = 0
             return None
-        if not request.is_late:
+        if not request.is_overdue:
             self._fresh_refused_at[request.service.name] = now
         return Refused(f"rate limits leave room in {turn.wait:.2f} s", 0, turn)
 
@@ -310,85 +315,88 @@
         at = self._fresh_refused_at.get(service, -inf)
         return now - at < FRESH_REFUSED_SECONDS
 
-    def _look(
+    def _get_snapshot(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
     ) -> Snapshot:
-        """Return what is known of a service's endpoints now, or was a moment ago.
+        """Return a snapshot of a service's endpoints, at most a moment old.
 
-        :param limited: whether those with a rate limit count as well.
+        :param limited: whether to include endpoints with a rate limit.
         """
-        revision = (self._endpoints.revision, self.required_version(service, now))
+        revision = (self._endpoints.revision, self.find_required_version(service, now))
         key = (service.name, limited)
         known = self._snapshots.get(key)
         if known is not None and not tried and known.is_fresh(now, revision):
             return known
-        able = self._list_able(service, tried, now, limited=limited)
-        work = self._work.get(service.name, WORK_SECONDS)
-        loads = self._measure(able, service, now)
+        eligible = self._list_eligible(service, tried, now, limited=limited)
+        work = self._work.get(service.name, DEFAULT_WORK_SECONDS)
+        loads = self._measure_loads(eligible, service, now)
         opening = None
         if all(each.limited for each in loads):
             opening = self._find_opening(service, tried, now, limited=limited)
-        snapshot = Snapshot(now, revision, able, loads, service.engine, work, opening)
+        snapshot = Snapshot(now, revision, eligible, loads, service.engine, work, opening)
         if not tried:
             self._snapshots[key] = snapshot
         return snapshot
 
-    def _weigh(
+    def _choose_endpoint(
         self, request: PlacementRequest, snapshot: Snapshot, now: float
     ) -> tuple[EndpointChoice | None, Verdict]:
-        """Choose an endpoint, and decide whether the request is sent there now."""
+        """Choose an endpoint, and decide whether to send the request there now."""
         engine = request.service.engine
         work = snapshot.work
-        objective_share = self._aim_shares.get(request.service.name, MAX_OBJECTIVE_SHARE)
-        elapsed = now - request.since + request.spent
+        objective_share = self._objective_shares.get(request.service.name, MAX_OBJECTIVE_SHARE)
+        total_elapsed = now - request.since + request.elapsed
         choice = choose_endpoint(
             snapshot.loads,
             engine,
             request.prompt_tokens,
             work,
             self._random,
-            request.aim * objective_share - elapsed,
+            request.latency_objective * objective_share - total_elapsed,
             snapshot.best,
         )
         needed, idle_seconds = None, inf
         if choice is not None:
-            idle_seconds = self._measure_least(request, work)
+            idle_seconds = self._measure_idle_latency(request, work)
             urgent = any(each.order < request.order for each in self._waiting[request.service.name])
-            limit = request.aim * objective_share
-            # A limiter says itself who goes; yielding to others as well would be a wait in vain.
-            granted = snapshot.is_limited(choice.key)
-            if not urgent and (granted or not self._must_yield(request, snapshot, limit, now)):
+            limit = request.latency_objective * objective_share
+            # A limiter orders the requests itself; deferring to others as well would only add a
+            # wait.
+            needs_grant = snapshot.is_limited(choice.key)
+            if not urgent and (
+                needs_grant or not self._should_defer(request, snapshot, limit, now)
+            ):
                 needed = compute_objective_seconds(choice.prediction, engine)
         verdict = decide_dispatch(
             needed,
-            elapsed,
-            request.aim,
+            total_elapsed,
+            request.latency_objective,
             request.deadline - now,
             limited=engine is not None and not request.begun,
-            elapsed_before=request.spent,
+            elapsed_before=request.elapsed,
             objective_share=objective_share,
             idle_seconds=idle_seconds,
         )
         return choice, verdict
 
     def _count_ahead(self, request: PlacementRequest) -> int:
-        """Count the requests that wait here and go before one."""
-        line = self._waiting[request.service.name]
-        place = line.index(request)
-        earlier = sum(each.order <= request.order for each in line[:place])
-        return earlier + sum(each.order < request.order for each in line[place + 1 :])
+        """Count the requests that wait here and go before a request."""
+        queue = self._waiting[request.service.name]
+        place = queue.index(request)
+        earlier = sum(each.order <= request.order for each in queue[:place])
+        return earlier + sum(each.order < request.order for each in queue[place + 1 :])
 
-    def _must_yield(
+    def _should_defer(
         self, request: PlacementRequest, snapshot: Snapshot, limit: float, now: float
     ) -> bool:
-        """Tell whether a request leaves what room there is to others that wait, here or elsewhere.
+        """Return whether a request leaves the spare capacity to others, here or elsewhere.
 
-        Answers an engine that is back while many wait: all nodes saw it idle at the same moment,
-        and 21 requests reached it within a twentieth of a second, of which a third were in time.
-        Each goes with the chance that lets in as many as there is room for, until the nodes have
-        heard of one another's sends.
+        When an engine returns while many requests wait, all nodes see it idle at the same moment:
+        21 requests reached it within 50 ms, of which a third were in time. Each request is
+        therefore sent with a probability that admits as many as there is capacity for, until the
+        nodes have received one another's load updates.
 
-        :param limit: seconds to a first event that are in time.
+        :param limit: seconds to a first event that is in time.
         """
         engine = request.service.engine
         if engine is None or request.begun:
@@ -396,13 +404,13 @@
         if now < request.not_before:
             return True
         queue = self._count_queue(request.service.name)
-        queue += self._endpoints.others.queue_of(request.service.name)
+        queue += self._endpoints.peer_loads.queue_of(request.service.name)
         if queue.fresh + queue.late <= 1:
             return False
-        share = OVERDUE_OBJECTIVE_SHARE if request.is_late else 1.0
-        room = snapshot.count_spare_slots(engine, limit * share)
+        share = OVERDUE_OBJECTIVE_SHARE if request.is_overdue else 1.0
+        capacity = snapshot.count_spare_slots(engine, limit * share)
         if self._random.random() < compute_send_probability(
-            room, queue.fresh, queue.late, for_overdue=request.is_late
+            capacity, queue.fresh, queue.late, for_overdue=request.is_overdue
         ):
             return False
         request.not_before = now + self._update_interval()
@@ -410,73 +418,80 @@
 
     def _count_queue(self, service: ServiceName) -> QueueLength:
         waiting = self._waiting.get(service, ())
-        late = sum(each.is_late for each in waiting)
-        return QueueLength(len(waiting) - late, late)
+        overdue = sum(each.is_overdue for each in waiting)
+        return QueueLength(len(waiting) - overdue, overdue)
 
     def list_queues(self) -> dict[ServiceName, QueueLength]:
-        """Return what waits here for each service; other nodes are told of it."""
+        """Return the waiting requests of each service, for publication to other nodes."""
         return {
             service: self._count_queue(service)
             for service, waiting in self._waiting.items()
             if waiting
         }
 
-    def _measure_least(self, request: PlacementRequest, work: float) -> float:
-        """Return the seconds that count against the aim at an idle endpoint."""
+    def _measure_idle_latency(self, request: PlacementRequest, work: float) -> float:
+        """Return the seconds that count against the latency objective at an idle endpoint."""
         return compute_objective_seconds(self._predict_idle(request, work), request.service.engine)
 
     def _predict_idle(self, request: PlacementRequest, work: float) -> Prediction:
         idle = EndpointLoad("idle", slots=1, running=0, waiting=0, sent_since=0, distance=0)
         return predict_first_byte(idle, request.service.engine, request.prompt_tokens, work)
 
-    def _measure(
-        self, able: Sequence[Able], service: BackendService, now: float
+    def _measure_loads(
+        self, eligible: Sequence[Eligible], service: BackendService, now: float
     ) -> list[EndpointLoad]:
-        self._endpoints.others.drop_silent(now)
-        unheard = count_unreachable(self._count_nodes(), self._endpoints.others.count_heard())
-        loads = [self._endpoints.measure(each.state, now, all_heard=not unheard) for each in able]
-        if not unheard:
+        self._endpoints.peer_loads.drop_silent(now)
+        unreachable = count_unreachable(
+            self._count_nodes(), self._endpoints.peer_loads.count_heard()
+        )
+        loads = [
+            self._endpoints.measure_load(each.state, now, all_reachable=not unreachable)
+            for each in eligible
+        ]
+        if not unreachable:
             return loads
         recent = sum(each.recent for each in loads)
-        unreported = estimate_unreported(recent, 1 + unheard, len(loads), service.engine)
+        unreported = estimate_unreported(recent, 1 + unreachable, len(loads), service.engine)
         return [replace(each, unreported=unreported) for each in loads]
 
-    def _list_able(
+    def _list_eligible(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
-    ) -> list[Able]:
+    ) -> list[Eligible]:
         usable = self._list_usable(service, tried, now)
-        states = [each for each in usable if each.denial.ask_after <= now]
+        states = [each for each in usable if each.denial.retry_at <= now]
         if not limited:
-            states = [each for each in states if self._endpoints.find_limit(each) is None]
-        required = self.required_version(service, now)
-        return list_able(service, states, required, now, self._random)
+            states = [each for each in states if self._endpoints.find_rate_limit(each) is None]
+        required = self.find_required_version(service, now)
+        return list_eligible(service, states, required, now, self._random)
 
     def _find_opening(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
     ) -> Opening | None:
-        """Return when endpoints that only their rate limits keep out take a request again.
+        """Return when endpoints that are excluded only by rate limits take a request again.
 
-        :param limited: whether a request may ask those that have not denied one.
+        :param limited: whether a request may use those that have not denied one.
         """
         if not len(self._endpoints.limits):
             return None
         states = self._list_usable(service, tried, now)
-        able = list_able(service, states, self.required_version(service, now), now, self._random)
-        rates = [self._endpoints.find_limit(each.state) for each in able]
-        if not able or any(each is None for each in rates):
+        eligible = list_eligible(
+            service, states, self.find_required_version(service, now), now, self._random
+        )
+        rates = [self._endpoints.find_rate_limit(each.state) for each in eligible]
+        if not eligible or any(each is None for each in rates):
             return None
-        pauses = [each.state.denial for each in able if each.state.denial.ask_after > now]
-        may_ask = not pauses or (limited and len(pauses) < len(able))
+        pauses = [each.state.denial for each in eligible if each.state.denial.retry_at > now]
+        can_request = not pauses or (limited and len(pauses) < len(eligible))
         return Opening(
-            at=now if may_ask else min(each.turn_at for each in pauses),
+            at=now if can_request else min(each.turn_at for each in pauses),
             rate=sum(max(MIN_ENDPOINT_RATE, each) for each in rates if each is not None),
-            least_urgent=max(able, key=lambda each: each.state.denial.urgency),
+            least_urgent=max(eligible, key=lambda each: each.state.denial.urgency),
         )
 
     def _list_usable(
         self, service: BackendService, tried: Collection[AgentId], now: float
     ) -> list[EndpointState]:
-        """Return the endpoints that nothing but weights or a rate limit keeps out."""
+        """Return the endpoints that only weights or a rate limit can exclude."""
         return [
             each
             for each in self._endpoints.of_service(service.name)
@@ -485,15 +500,17 @@
 
 
 async def _wait(changed: asyncio.Event, request: PlacementRequest) -> None:
-    """Wait for a change, or for a moment in which marks of full endpoints may have passed.
+    """Wait for a change, or until a full endpoint may be used again.
 
-    A stream that goes on elsewhere looks again at once; others leave a moment between two looks,
-    since each change wakes all that wait.
+    A resumed stream checks again at once. Others pause between two checks, since each change wakes
+    all waiting requests.
     """
     if not request.begun:
-        await asyncio.sleep(_LEAST_WAIT)
+        await asyncio.sleep(_MIN_WAIT_SECONDS)
     try:
-        async with asyncio.timeout(max(_LEAST_WAIT, request.aim * QUEUE_SHARE / 4)):
+        async with asyncio.timeout(
+            max(_MIN_WAIT_SECONDS, request.latency_objective * QUEUE_SHARE / 4)
+        ):
             await changed.wait()
     except TimeoutError:
         pass
--- a/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_request_progress.py
@@ -1,4 +1,4 @@
-"""What has happened to one caller's request so far."""
+"""The state of one caller's request."""
 
 from dataclasses import dataclass, field
 
@@ -7,13 +7,13 @@
 from wrenloft_routing._exchange import CallerRequest
 from wrenloft_routing._gate import PlacementRequest
 from wrenloft_routing._loads import NO_LOAD, InProgress
-from wrenloft_routing._streams import Pump
+from wrenloft_routing._streams import StreamProgress
 from wrenloft_routing._table import BackendService, Rule
 
 
 @dataclass(slots=True)
 class RequestProgress:
-    """What has happened to one request so far."""
+    """The state of one request."""
 
     request: CallerRequest
     rule: Rule
@@ -26,15 +26,15 @@
     attempts: int = 0
     not_sent: int = 0
     may_have_run: bool = False
-    on_trial: bool = False
+    is_probe: bool = False
     limit_known: bool = False
     sent_at: float = 0.0
-    spent: float = 0.0
+    elapsed: float = 0.0
     prediction: Prediction = Prediction(0.0, 0.0)
     begin_by: float = float("inf")
     peer: str = ""
-    pump: Pump = field(default_factory=Pump)
-    share: InProgress = NO_LOAD
+    stream: StreamProgress = field(default_factory=StreamProgress)
+    load: InProgress = NO_LOAD
 
     @property
     def left(self) -> float:
@@ -43,7 +43,7 @@
 
 
 def build_placement_request(progress: RequestProgress, since: float) -> PlacementRequest:
-    """Return what the request asks of the gate.
+    """Return the placement request for the gate.
 
     :param since: when it began to wait.
     """
@@ -52,8 +52,8 @@
         rank=progress.rank,
         prompt_tokens=progress.request.prompt_tokens,
         since=since,
-        spent=progress.spent,
-        aim=progress.rule.aim,
+        elapsed=progress.elapsed,
+        latency_objective=progress.rule.latency_objective,
         deadline=progress.deadline,
-        begun=progress.pump.begun,
+        begun=progress.stream.begun,
     )
--- a/tests/platform/test_quarantines.py
+++ b/tests/platform/test_quarantines.py
@@ -12,12 +12,12 @@
 from wrenloft_platform._quarantines import StoredQuarantines, decode_quarantines, encode_quarantine
 from wrenloft_platform._store import StoreClient
 from wrenloft_policy import PROBE_INTERVAL_SECONDS, CrashStatus
-from wrenloft_routing import Item, Reading, ToldCrash
+from wrenloft_routing import Item, Reading, ReportedCrash
 
 from .conftest import StandinStore
 
 CONTENT = ContentId("c")
-CRASHES = {IncarnationId("e@1"): ToldCrash(1.5, CrashStatus.COUNTED)}
+CRASHES = {IncarnationId("e@1"): ReportedCrash(1.5, CrashStatus.COUNTED)}
 KEY = "wrenloft/held/c"
 BAD_ENTRIES = [
     b"",
--- a/tests/platform/test_runner.py
+++ b/tests/platform/test_runner.py
@@ -37,7 +37,7 @@
         body=b"body",
         body_digest=b"",
         key=None,
-        patience=1.0,
+        caller_timeout=1.0,
         prompt_tokens=0.0,
         last_event=None,
         arrived=0.0,
@@ -146,9 +146,9 @@
         full = await _open(session, endpoint)
         other = await _open(session, endpoint)
         assert isinstance(full, Rejected)
-        assert (full.mistaken, full.load) == (False, (4, 2, 4))
+        assert (full.misdirected, full.load) == (False, (4, 2, 4))
         assert isinstance(other, Rejected)
-        assert other.mistaken
+        assert other.misdirected
 
     async def test_503_without_not_executed_header_is_a_reply(
         self, session: ClientSession, endpoint: StandinEndpoint
