--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -254,7 +254,7 @@
         "if agent_id not in seen and trusted:",
         "if agent_id not in seen:",
         f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
-        "::test_missing_entry_is_gone_only_if_the_reading_is_trusted",
+        "::test_missing_entry_is_gone_only_if_the_snapshot_is_trusted",
     ),
     Safeguard(
         "routing: a report that the version was given up goes before the list",
@@ -384,7 +384,7 @@
         "if report.born >= state.endpoint.born:",
         "if True:",
         f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
-        "::test_word_of_an_earlier_incarnation_changes_nothing",
+        "::test_report_of_an_earlier_incarnation_changes_nothing",
     ),
     Safeguard(
         "an entry names a configured service",
@@ -402,7 +402,7 @@
         f"{ROUTING_TESTS}/test_loads.py::TestContention::test_restarted_engine_is_not_overloaded",
     ),
     Safeguard(
-        "expired loads stop counting",
+        "loads of silent nodes stop counting",
         f"{ROUTING}/_loads.py",
         "if now - at > LOAD_TTL_SECONDS:",
         "if False:",
@@ -433,44 +433,43 @@
         "::test_requests_are_kept_away_while_the_version_after_is_fetched",
     ),
     Safeguard(
-        "a follower is not told its own requests",
+        "a subscriber does not get its own requests",
         f"{ROUTING}/_zone_view.py",
         "sums[agent_id] = sums.get(agent_id, NO_LOAD) - load",
         "sums[agent_id] = sums.get(agent_id, NO_LOAD)",
         f"{ROUTING_TESTS}/test_zone.py::TestFrameWriter"
-        "::test_follower_is_not_told_its_own_requests",
+        "::test_subscriber_does_not_get_its_own_requests",
     ),
     Safeguard(
-        "a reading never looks younger than it is",
+        "a snapshot never looks newer than it is",
         f"{ROUTING}/_store_snapshots.py",
         "change.begun_at - self._clock_lead",
         "change.begun_at",
-        f"{ROUTING_TESTS}/test_zone.py::TestReadingMirror"
-        "::test_reading_never_looks_younger_than_it_is",
+        f"{ROUTING_TESTS}/test_zone.py::TestSnapshotMirror"
+        "::test_snapshot_never_looks_newer_than_it_is",
     ),
     Safeguard(
-        "a lost relay is passed over",
+        "a lost relay is skipped",
         f"{ROUTING}/_members.py",
         "member.avoided_until = read_clock() + pause",
         "member.avoided_until = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestMembers"
-        "::test_relay_that_was_lost_is_passed_over_for_a_while",
+        f"{ROUTING_TESTS}/test_beliefs.py::TestMembers" "::test_lost_relay_is_skipped_for_a_while",
     ),
     Safeguard(
-        "a node that knows only itself stays with who asked it",
+        "a node that knows only itself stays with its relay",
         f"{ROUTING}/_zone.py",
         "        if len(self._members) == 1:\n            return False\n",
         "",
         f"{ROUTING_TESTS}/test_zone.py::TestZoneLink"
-        "::test_node_that_starts_while_the_store_is_away_follows_who_asks",
+        "::test_node_that_starts_without_the_store_subscribes_to_its_relay",
     ),
     Safeguard(
         "other nodes of a zone read the store in turns",
         f"{ROUTING}/_store_snapshots.py",
         "wait = self._random.uniform(0.0, 2.0 * SELF_READ_SECONDS * nodes)",
         "wait = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestSharedReading"
-        "::test_store_that_is_away_gets_few_calls_from_many_nodes",
+        f"{ROUTING_TESTS}/test_beliefs.py::TestSharedSnapshot"
+        "::test_unavailable_store_gets_few_calls_from_many_nodes",
     ),
     Safeguard(
         "relays take over reading in turn",
@@ -480,14 +479,14 @@
         f"{POLICY_TESTS}/test_relays.py::TestReadPatience::test_relays_take_over_in_turn",
     ),
     Safeguard(
-        "a look counts what it sent",
+        "a snapshot counts what was sent",
         f"{ROUTING}/_endpoint_snapshot.py",
         "waiting=load.waiting + 1",
         "waiting=load.waiting",
         f"{ROUTING_TESTS}/test_snapshot.py::TestSnapshot::test_requests_of_one_moment_spread",
     ),
     Safeguard(
-        "a look ends when it changes who can be used",
+        "a snapshot ends when it changes which endpoints are eligible",
         f"{ROUTING}/_endpoint_snapshot.py",
         "return self.revision == revision and now",
         "return now",
@@ -531,8 +530,7 @@
         f"{ROUTING}/_packing.py",
         "if not inflater.eof:",
         "if False:",
-        f"{ROUTING_TESTS}/test_packing.py::TestPackItems"
-        "::test_what_is_no_packed_text_is_refused",
+        f"{ROUTING_TESTS}/test_packing.py::TestPackItems" "::test_what_is_no_packed_text_is_refused",
     ),
     Safeguard(
         "a list's revision is its first page's",
--- a/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
@@ -1,4 +1,4 @@
-"""Frames over connections: told by a relay, followed by nodes, relays and agents."""
+"""Streams of frames from a relay to nodes, other relays and agents."""
 
 import asyncio
 import logging
@@ -16,32 +16,32 @@
 _LOG = logging.getLogger(__name__)
 
 FRAME_HEARTBEAT_SECONDS = 0.2
-"""Longest time between two frames, so that silence shows a relay that is dead."""
+"""Longest time between two frames, so that a silent connection reveals a dead relay."""
 
 FRAME_TIMEOUT_SECONDS = 0.6
-"""Silence after which a relay is taken for dead: two frames and more are missing. Until then its
-nodes go by what it said last; unseen for longer, their sends would meet at one engine."""
+"""Time without a frame after which a relay counts as dead: more than two frames are missing. Until
+then its nodes rely on its last frames; with older ones, their sends would collide at one engine."""
 
 FRAME_CONNECT_TIMEOUT_SECONDS = 0.3
-"""Longest wait for a connection to a relay; across regions it takes 6 ms."""
+"""Longest wait for a connection to a relay; one across regions takes 6 ms."""
 
 AGENT_HEARTBEAT_SECONDS = 0.5
 AGENT_FRAME_TIMEOUT_SECONDS = 1.5
-"""The same as for nodes, for agents: they go on without a relay and can wait longer. What the store
-holds is told to both as soon as it has changed: a version's weights have seconds to arrive."""
+"""Both as for nodes, but longer: agents work without a relay. Store changes are sent to both at
+once: the weights of a new version have seconds to arrive."""
 
 FRAMES_PATH = "/frames"
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-"""Longest frame: readings of 3,000 entries are 1 MB."""
+"""Largest frame; snapshots of 3,000 entries take 1 MB."""
 
 
 class FrameRoutes:
-    """Tells others what this node has view, as their relay.
+    """Serves this node's view as frames, as a relay.
 
     :param changes: fired whenever the store's content has changed.
 
-    ``subscriber_count`` counts who listens; while anybody does, this node gathers.
+    ``subscriber_count`` counts the subscribers; this node aggregates while there are any.
     """
 
     def __init__(self, view: ZoneView, snapshots: list[SharedSnapshot], changes: Signal) -> None:
@@ -52,7 +52,7 @@
 
     @property
     def subscriber_count(self) -> int:
-        """How many nodes and relays follow this one."""
+        """Number of nodes and relays that subscribe to this one."""
         return self._counts[FrameScope.FLEET] + self._counts[FrameScope.ZONE]
 
     def routes(self) -> list[web.RouteDef]:
@@ -71,7 +71,13 @@
         try:
             await self._write_frames(response, scope, subscriber)
         except ConnectionResetError as error:
-            note(_LOG, "follower gone", scope=scope.value, node=subscriber, reason=str(error))
+            note(
+                _LOG,
+                "subscriber has gone away",
+                scope=scope.value,
+                node=subscriber,
+                reason=str(error),
+            )
             raise asyncio.CancelledError from error
         finally:
             self._counts[scope] -= 1
@@ -110,10 +116,10 @@
 async def read_frames(
     session: ClientSession, address: str, scope: FrameScope, own: NodeId, on_frame: FrameHandler
 ) -> str:
-    """Follow a relay until it is lost, and return why it was.
+    """Subscribe to a relay until it is lost, and return the reason.
 
-    :param address: its internal address.
-    :param on_frame: called with each frame, and with the mirror of that relay's readings.
+    :param address: the relay's internal address.
+    :param on_frame: called with each frame, and with the mirror of that relay's snapshots.
     """
     for_agent = scope is FrameScope.STORE
     read_timeout = AGENT_FRAME_TIMEOUT_SECONDS if for_agent else FRAME_TIMEOUT_SECONDS
@@ -134,8 +140,9 @@
             async for line in response.content:
                 frame = decode_frame(line)
                 if mirror is None:
-                    # The first frame was made after the question was sent, so its clock is ahead
-                    # by this much at most; ages counted so are never too young.
+                    # The first frame was composed after the request was sent, so the relay's
+                    # clock is ahead by this much at most; ages computed from it are never
+                    # too young.
                     mirror = SnapshotMirror(frame.sent_at - requested_at)
                 MESSAGES.labels("frame", "received").inc()
                 on_frame(frame, mirror)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
@@ -1,7 +1,7 @@
-"""What a relay tells: of loads, engines, nodes and the store's content, as changes.
+"""Frames that a relay sends: changes of loads, engines, nodes and the store's content.
 
-Times in a frame are on the sender's clock. Both clocks count suspensions and run at the same rate,
-so the difference, bounded once for each connection, translates every later time.
+Times in a frame are on the sender's clock. Both clocks include suspensions and run at the same
+rate, so the offset, bounded once per connection, converts every later time.
 """
 
 import json
@@ -20,10 +20,10 @@
 
 
 class FrameScope(Enum):
-    """What a follower wants to hear of.
+    """Content that a subscriber wants.
 
-    ``FLEET`` is for nodes of the relay's zone, ``ZONE`` for relays of other zones, and
-    ``STORE`` for agents, which need no more than the store's content.
+    ``FLEET`` is for nodes of the relay's zone, ``ZONE`` for relays of other zones, and ``STORE``
+    for agents, which need only the store's content.
     """
 
     FLEET = "fleet"
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreDelta:
-    """How a reading differs from the last one told.
+    """Changes of a store snapshot since the last one sent.
 
-    :param begun_at: when the read of the store was begun, on the sender's clock.
-    :param trusted: whether missing entries are gone, and not only lapsed.
+    :param begun_at: when the read of the store began, on the sender's clock.
+    :param trusted: whether missing entries were removed, rather than only expired.
     """
 
     name: str
@@ -51,16 +51,16 @@
 class Frame:
     """One message of a relay.
 
-    :param sent_at: when it was made, on the sender's clock.
-    :param node_count: nodes whose requests are counted in ``loads``.
-    :param loads: at each endpoint where they have changed.
-    :param queues: requests that wait, by service.
-    :param reports: of engines, by address, where they have changed.
-    :param lost: addresses of engines whose agents are no longer heard.
-    :param states: of entry nodes, where they have changed.
-    :param store_deltas: of the store.
-    :param crashes: of contents, where something new is known.
-    :param limits: that endpoints name, where they have changed.
+    :param sent_at: when it was composed, on the sender's clock.
+    :param node_count: number of nodes whose requests ``loads`` covers.
+    :param loads: load at each endpoint where it has changed.
+    :param queues: queued requests by service.
+    :param reports: reports of engines by address, where they have changed.
+    :param lost: addresses of engines whose agents are no longer connected.
+    :param states: states of entry nodes, where they have changed.
+    :param store_deltas: changes of store snapshots.
+    :param crashes: new crash records by content.
+    :param limits: rate limits of endpoints, where they have changed.
     """
 
     sent_at: float
@@ -102,12 +102,12 @@
 def decode_frame(line: bytes) -> Frame:
     """Decode one line.
 
-    :raises ValueError: if it is no frame.
+    :raises ValueError: if the line is not a frame.
     """
     try:
         return _decode_fields(json.loads(line))
     except (KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise ValueError(f"no frame: {error!r}") from error
+        raise ValueError(f"line is not a frame: {error!r}") from error
 
 
 def _decode_fields(fields: dict[str, Any]) -> Frame:
@@ -128,7 +128,7 @@
 
 
 def encode_crashes(updates: CrashNews) -> dict[str, list[list[Any]]]:
-    """Return rows for each content."""
+    """Encode crash records as rows for each content."""
     return {
         content: [
             [incarnation, round(crash.age, 3), int(crash.standing)]
@@ -139,7 +139,7 @@
 
 
 def decode_crashes(rows: dict[str, list[list[Any]]]) -> CrashNews:
-    """Return what rows say."""
+    """Decode the rows of crash records."""
     return {
         ContentId(str(content)): {
             IncarnationId(str(incarnation)): ToldCrash(float(age), Standing(standing))
@@ -150,14 +150,14 @@
 
 
 def encode_limits(updates: LimitUpdates) -> list[list[Any]] | str:
-    """Return the limits as items are told: deflated where there are many."""
+    """Encode limits as packed items."""
     return pack_items([_write_limit(*each) for each in updates.items()])
 
 
 def decode_limits(packed: Any) -> LimitUpdates:
-    """Return what was told.
+    """Decode packed limits.
 
-    :raises ValueError: if it is no such text.
+    :raises ValueError: if the text is malformed.
     """
     return dict(_read_limit(each) for each in unpack_items(packed))
 
@@ -173,12 +173,12 @@
 
 
 def encode_limit(incarnation: IncarnationId, limit: RateLimit) -> list[Any]:
-    """Return one endpoint's limit as a row."""
+    """Encode one endpoint's limit as a row."""
     return [incarnation, limit.rate, limit.missing, limit.sequence, limit.node]
 
 
 def decode_limit(row: list[Any]) -> tuple[IncarnationId, RateLimit]:
-    """Return what a row says."""
+    """Decode the row of one endpoint's limit."""
     incarnation, rate, missing, sequence, node = row
     rate = None if rate is None else float(rate)
     limit = RateLimit(rate, int(missing), int(sequence), str(node))
@@ -186,7 +186,7 @@
 
 
 def encode_loads(loads: dict[AgentId, InProgress]) -> list[list[Any]]:
-    """Return one row for each endpoint."""
+    """Encode loads as one row for each endpoint."""
     return [
         [agent_id, load.unread, load.unread_tokens, load.running]
         for agent_id, load in loads.items()
@@ -194,7 +194,7 @@
 
 
 def decode_loads(rows: list[list[Any]]) -> dict[AgentId, InProgress]:
-    """Return what rows say."""
+    """Decode the rows of loads."""
     return {
         AgentId(str(agent_id)): InProgress(int(unread), int(tokens), int(running))
         for agent_id, unread, tokens, running in rows
@@ -202,12 +202,12 @@
 
 
 def encode_queues(queues: dict[ServiceName, QueueLength]) -> list[list[Any]]:
-    """Return one row for each service."""
+    """Encode queues as one row for each service."""
     return [[service, queue.fresh, queue.overdue] for service, queue in queues.items()]
 
 
 def decode_queues(rows: list[list[Any]]) -> dict[ServiceName, QueueLength]:
-    """Return what rows say."""
+    """Decode the rows of queues."""
     return {
         ServiceName(str(name)): QueueLength(int(fresh), int(overdue))
         for name, fresh, overdue in rows
--- a/packages/wrenloft-routing/src/wrenloft_routing/_grants.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_grants.py
@@ -79,7 +79,7 @@
         except (ClientError, OSError, TimeoutError, ValueError) as error:
             GRANTS.labels("unanswered").inc()
             reason = str(error) or type(error).__name__
-            note(_LOG, "no answer from limiter", node=node, reason=reason)
+            note(_LOG, "limiter did not answer", node=node, reason=reason)
             pause = LIMITER_RETRY_SECONDS * self._random.uniform(1.0, 2.0)
             return Grant(False, pause, pause)
 
@@ -132,4 +132,4 @@
         granted = bool(fields["granted"])
         return Grant(granted, float(fields["ask_again"]), float(fields["turn"]))
     except (KeyError, TypeError) as error:
-        raise ValueError(f"malformed grant: {error!r}") from error
+        raise ValueError(f"malformed answer to grant request: {error!r}") from error
--- a/packages/wrenloft-routing/src/wrenloft_routing/_limit_ledger.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_limit_ledger.py
@@ -139,7 +139,7 @@
     def _note_change(
         self, incarnation: IncarnationId, old: float | None, limit: RateLimit, age: float
     ) -> None:
-        message = "rate limit announced" if old is None else "rate limit changed"
+        message = "rate limit named" if old is None else "rate limit changed"
         if limit.rate is None:
             message = "rate limit ended"
         note(
--- a/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
@@ -100,7 +100,7 @@
         except ConnectionResetError as error:
             note(
                 _LOG,
-                "relay disconnected",
+                "relay has gone away",
                 path=request.path,
                 peer=request.remote,
                 reason=str(error),
--- a/packages/wrenloft-routing/src/wrenloft_routing/_members.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_members.py
@@ -1,4 +1,4 @@
-"""The entry nodes: those that callers are told of, and those that relay for their zone."""
+"""Entry nodes: which are offered to callers, and which relay for their zone."""
 
 import logging
 from collections.abc import Iterable, Mapping
@@ -12,19 +12,20 @@
 _LOG = logging.getLogger(__name__)
 
 _MIN_NEAR_NODES = 2
-"""Entry nodes that suffice near a caller; with one, a failure there would send the caller back to
+"""Entry nodes that suffice near a caller; with only one, its failure would send the caller back to
 the directory."""
 
 RELAY_BACKOFF_SECONDS = 1.0
-"""How long a relay that was lost is passed over; doubled by each further loss in a row. A process
-that ended is back within a second."""
+"""How long a lost relay is skipped; doubled by each further loss in a row. A process that ended is
+restarted within a second."""
 
 MAX_RELAY_BACKOFF_SECONDS = 8.0
-"""Longest such time: a try at a host that is dark takes the frames of a third of a second."""
+"""Longest such time: an attempt to reach a dead host leaves the node without frames for a third of
+a second."""
 
 
 class NodeState(Enum):
-    """What is known of an entry node."""
+    """State of an entry node."""
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -36,11 +37,11 @@
 class Member:
     """One entry node.
 
-    :param front: address that callers connect to.
+    :param front: address for callers.
     :param internal: address for other nodes.
-    :param strength: processor time that it has, in cores.
-    :param avoided_until: until when it is not asked to relay, after it was lost as a relay.
-    :param losses: how often in a row that happened.
+    :param strength: available processor time in cores.
+    :param avoided_until: time until which it isn't used as a relay, after its loss as one.
+    :param losses: number of such losses in a row.
     """
 
     node_id: NodeId
@@ -55,12 +56,12 @@
 
     @property
     def is_advertised(self) -> bool:
-        """Whether callers may be told of it; one not heard of yet is taken at its entry's word."""
+        """Whether its address is given to callers; an unknown node counts as ready, as listed."""
         return self.state in (NodeState.UNKNOWN, NodeState.READY)
 
 
 class Members:
-    """Entry nodes by id: listed in the store, judged by what their zone's relay hears of them."""
+    """Entry nodes by id: listed in the store, with states as observed by their zone's relay."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
@@ -68,10 +69,10 @@
         self._members: dict[NodeId, Member] = {own.node_id: own}
 
     def update(self, listed: Iterable[Member]) -> None:
-        """Take a reading of the list.
+        """Update the members from the list in the store.
 
-        A node that is missing but still heard of stays: its entry may have lapsed while the store
-        was away.
+        A missing node that is still reachable stays: its entry may have expired while the store was
+        unavailable.
         """
         seen = {each.node_id: each for each in listed}
         for node_id, member in seen.items():
@@ -88,7 +89,7 @@
                 note(_LOG, "entry node gone", node=node_id)
 
     def others(self, *, near: bool) -> list[Member]:
-        """Return the other nodes: those of this availability zone, or the rest."""
+        """Return the other nodes: those of this availability zone, or all the rest."""
         return [
             each
             for each in self._members.values()
@@ -96,25 +97,25 @@
         ]
 
     def get(self, node_id: NodeId) -> Member | None:
-        """Return a node, if it is known."""
+        """Return a node if it is known."""
         return self._members.get(node_id)
 
     def list_reachable(self) -> list[Member]:
-        """Return the nodes that are heard of, this one included."""
+        """Return the reachable nodes, this one included."""
         reachable = (NodeState.READY, NodeState.UNREADY)
         return [
             each for each in self._members.values() if each is self.own or each.state in reachable
         ]
 
     def count_groups(self, place: PlaceName) -> tuple[Group, Group]:
-        """Return how many nodes of a zone, and of all, are heard of and listed."""
+        """Return the reachable and listed nodes of a zone and of the fleet, as counts."""
         reachable = self.list_reachable()
         zone_reachable = sum(each.place == place for each in reachable)
         zone_listed = sum(each.place == place for each in self._members.values())
         return Group(zone_reachable, zone_listed), Group(len(reachable), len(self._members))
 
     def is_address_reachable(self, internal: str) -> bool:
-        """Tell whether the node at an internal address is this one or is heard of."""
+        """Return whether the node at an internal address is this one or reachable."""
         reachable = (NodeState.READY, NodeState.UNREADY)
         return any(
             each is self.own or each.state in reachable
@@ -123,21 +124,21 @@
         )
 
     def update_states(self, states: Mapping[NodeId, NodeState]) -> None:
-        """Take what a relay has heard of nodes; what it has not heard of stays as it was."""
+        """Update the states of nodes as observed by a relay; unknown states change nothing."""
         for node_id, state in states.items():
             member = self._members.get(node_id)
             if member is None or member is self.own or member.state is state:
                 continue
             if state is not NodeState.UNKNOWN:
-                note(_LOG, "entry node judged", node=node_id, state=state.value)
+                note(_LOG, "entry node state changed", node=node_id, state=state.value)
                 member.state = state
 
     def list_states(self, place: PlaceName) -> dict[NodeId, NodeState]:
-        """Return what is known of a zone's nodes."""
+        """Return the states of a zone's nodes."""
         return {each.node_id: each.state for each in self._members.values() if each.place == place}
 
     def list_places(self) -> list[PlaceName]:
-        """Return the availability zones that have a node not known to be lost."""
+        """Return the availability zones with a node that isn't known to be lost."""
         return sorted(
             {each.place for each in self._members.values() if each.state is not NodeState.LOST}
         )
@@ -149,7 +150,7 @@
         return [self._members[NodeId(each)] for each in order]
 
     def pick_relay(self, place: PlaceName) -> Member | None:
-        """Return the node that relays for a zone, ``None`` if none can be asked now.
+        """Return the node that relays for a zone, ``None`` if there is none to try now.
 
         This node's own zone has at least itself: a node that reaches no other relays for itself.
         """
@@ -159,7 +160,7 @@
         return next(iter([*live, *ranked]), None)
 
     def record_relay(self, member: Member, *, connected: bool) -> None:
-        """Take whether a node that was asked to relay does so."""
+        """Record whether a subscription to a node as relay succeeded."""
         if connected:
             member.losses, member.avoided_until = 0, 0.0
             return
@@ -168,7 +169,7 @@
         member.avoided_until = read_clock() + pause
 
     def pick_other(self, random: Random) -> Member | None:
-        """Return any node that is heard of."""
+        """Return a random reachable node."""
         reachable = [
             each
             for each in self._members.values()
@@ -177,10 +178,10 @@
         return random.choice(reachable) if reachable else None
 
     def choose_addresses(self, place: PlaceName, region: RegionName) -> list[str]:
-        """Return the addresses for a caller: the nearest that are enough, else all there are.
+        """Return the addresses for a caller: the nearest ones if they suffice, else all.
 
-        A node that hears nobody may itself be cut off; it then names all it knows, since callers
-        try another when one fails.
+        A node that reaches no other may itself be cut off; it then returns all addresses it knows,
+        since callers try another one on failure.
         """
         advertised = [each for each in self._members.values() if each.is_advertised]
         for scope in (
@@ -194,11 +195,11 @@
         return [each.front for each in self._members.values()]
 
     def count_live(self) -> int:
-        """Return how many entry nodes are not known to be lost, this one included."""
+        """Return the number of entry nodes not known to be lost, this one included."""
         return sum(each.state is not NodeState.LOST for each in self._members.values())
 
     def count_near(self) -> int:
-        """Return how many of those are in this availability zone, this one included."""
+        """Return the number of such nodes in this availability zone, this one included."""
         near = [each for each in self._members.values() if each.place == self.own.place]
         return sum(each.state is not NodeState.LOST for each in near)
 
--- a/packages/wrenloft-routing/src/wrenloft_routing/_report_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_report_streams.py
@@ -1,4 +1,4 @@
-"""Hearing engines' agents, as their zone's relay."""
+"""Reports of engines' agents, received by their zone's relay."""
 
 import asyncio
 import json
@@ -17,16 +17,16 @@
 _LOG = logging.getLogger(__name__)
 
 REPORT_TIMEOUT_SECONDS = 1.0
-"""Silence after which the connection to an agent is taken for dead; it reports every 0.4 s."""
+"""Time without a report after which an agent's connection is dead; agents report every 0.4 s."""
 
 _RECONNECT_DELAY_SECONDS = 0.3
 _REPORT_PATH = "/reports"
 
 
 class ReportSubscriber:
-    """Follows the reports of agents.
+    """Receives the reports of agents.
 
-    :param internal: this node's address for agents, which ask it for what the store holds.
+    :param internal: this node's address for agents, which request the store's content from it.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._internal = internal
 
     async def subscribe(self, agent: AgentPeer) -> None:
-        """Follow one agent until cancelled."""
+        """Subscribe to one agent until cancelled."""
         received = False
         try:
             while True:
@@ -52,7 +52,7 @@
             self._view.forget_report(agent.engine)
 
     async def _read_reports(self, agent: AgentPeer, *, known: bool) -> tuple[bool, str]:
-        """Read one connection to its end; return whether anything came, and why it ended."""
+        """Read one connection to its end; return whether any report arrived, and why it ended."""
         url = f"http://{agent.address}{_REPORT_PATH}"
         timeout = ClientTimeout(
             total=None,
@@ -83,7 +83,7 @@
     """Decode an agent's report.
 
     :raises KeyError: if a field is missing.
-    :raises TypeError: if one has the wrong type.
+    :raises TypeError: if a field has the wrong type.
     """
     known = {name: fields[name] for name in EngineReport.__slots__}
     span = fields["span"]
--- a/packages/wrenloft-routing/src/wrenloft_routing/_subscriptions.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_subscriptions.py
@@ -1,4 +1,4 @@
-"""One task for each peer that is followed."""
+"""Subscriptions to peers: one task each."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Hashable, Iterable
@@ -14,7 +14,7 @@
 class NodePeer:
     """Another entry node.
 
-    :param address: for other nodes.
+    :param address: its internal address.
     """
 
     node_id: NodeId
@@ -26,8 +26,8 @@
     """An engine's agent.
 
     :param engine: the engine's address.
-    :param address: the agent's own.
-    :param place: where both are.
+    :param address: the agent's address.
+    :param place: availability zone of both.
     """
 
     engine: str
@@ -36,9 +36,9 @@
 
 
 class Subscriptions(Generic[K]):
-    """Keeps a task for each peer that is to be followed, and for no other.
+    """Runs one task for each subscribed peer.
 
-    :param subscribe: follows one peer until cancelled.
+    :param subscribe: subscribes to one peer until cancelled.
     """
 
     def __init__(self, subscribe: Callable[[K], Awaitable[None]]) -> None:
@@ -46,7 +46,7 @@
         self._tasks: dict[K, asyncio.Task[None]] = {}
 
     def update(self, wanted: Iterable[K]) -> None:
-        """Follow exactly these."""
+        """Start and cancel tasks so that exactly these peers are subscribed to."""
         peers = set(wanted)
         for peer in self._tasks.keys() - peers:
             self._tasks.pop(peer).cancel()
@@ -54,7 +54,7 @@
             self._tasks[peer] = asyncio.ensure_future(self._subscribe(peer))
 
     async def close(self) -> None:
-        """Stop following."""
+        """Cancel all subscriptions."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
@@ -1,4 +1,4 @@
-"""An entry node's part in its zone: following the zone's relay, or relaying itself."""
+"""An entry node's role in its zone: subscriber of the zone's relay, or relay itself."""
 
 import asyncio
 import logging
@@ -24,27 +24,27 @@
 _LOG = logging.getLogger(__name__)
 
 CHECK_INTERVAL_SECONDS = 0.1
-"""Between two looks at who relays, and at whom a relay follows."""
+"""Time between two checks of which node relays, and of what a relay subscribes to."""
 
 AGGREGATION_LINGER_SECONDS = 2.0
-"""How long a node goes on gathering after its last follower has left: one that lost its relay for
-a moment finds the next one informed."""
+"""How long a node goes on aggregating after its last subscriber has disconnected, so that a node
+that lost its relay for a moment finds the next one with up-to-date state."""
 
 _RELAY_SOURCE = NodeId("relay")
-"""Name under which a follower keeps the sums that its relay tells."""
+"""Source name under which a subscriber records the sums that its relay sends."""
 
 
 class ZoneLink:
-    """Keeps a node informed of the fleet.
+    """Keeps a node's view of the fleet up to date.
 
-    Each node follows one relay of its zone, the first by rank that it can hear. Whoever is
-    followed gathers: from the zone's nodes and agents, and from a relay of each other zone. So
-    the connections of a node that relays for nobody do not grow with the fleet, and nobody has
-    to be elected: a node that hears its relay no longer follows the next one, which then
-    gathers; a node that hears nobody gathers for itself.
+    Each node subscribes to one relay of its zone, the first by rank that it can reach. A node with
+    subscribers aggregates: from the zone's nodes and agents, and from a relay of each other zone.
+    So the number of connections of a node that isn't a relay doesn't grow with the fleet, and no
+    election is needed: a node that reaches its relay drops its subscription to the next one, and a
+    node that reaches no other aggregates for itself.
 
     :param regions: region of each zone.
-    :param is_ready: whether callers may be sent to this node.
+    :param is_ready: returns whether callers may be sent to this node.
     """
 
     def __init__(
@@ -73,23 +73,23 @@
         endpoints.others = self._relay_loads
 
     def attach(self, routes: FrameRoutes, snapshots: Iterable[SharedSnapshot]) -> None:
-        """Take the routes by which others follow this node, and the readings that frames bring."""
+        """Set the routes for subscribers of this node, and the snapshots that frames update."""
         self._routes = routes
         self._snapshots = {each.name: each for each in snapshots}
 
     def record_relay_request(self, address: str) -> None:
-        """Take that a relay asks this node.
+        """Record the address of a relay that connected to this node.
 
-        A node that starts while the store is away can learn of the others in no other way.
+        A node that starts while the store is unavailable has no other way to find the other nodes.
         """
         self._requesting_relay = address
 
     def set_agents(self, agents: Iterable[AgentPeer]) -> None:
-        """Take the agents of all engines that are listed."""
+        """Set the agents of all listed engines."""
         self._agents = tuple(agents)
 
     async def run(self, stack: AsyncExitStack) -> None:
-        """Follow and gather until cancelled; what is opened closes with the stack."""
+        """Subscribe and aggregate until cancelled; the stack closes what is opened."""
         nodes = Subscriptions(NodeSubscriber(self._view, self._members, self._session).subscribe)
         internal = self._members.own.internal
         reports = ReportSubscriber(self._endpoints, self._view, self._session, internal)
@@ -113,7 +113,7 @@
                 await self._subscribe_to_relay(relay)
 
     async def _subscribe_to_requesting_relay(self) -> None:
-        """Wait for the list of nodes, and follow a relay that asks meanwhile."""
+        """Wait for the list of nodes; meanwhile, subscribe to a relay that has connected."""
         await asyncio.sleep(CHECK_INTERVAL_SECONDS / 4)
         if (
             not self._requesting_relay
@@ -129,18 +129,18 @@
         await self._subscribe_to_relay(relay)
 
     def start_alone(self) -> None:
-        """Relay until other nodes are known: the list has been read and names nobody else."""
+        """Act as relay until other nodes are known: the list was read and names no other node."""
         if self.role is ZoneRole.STARTING and len(self._members) == 1:
             self._set_role(ZoneRole.RELAYING, self._view.fleet_loads)
 
     def _set_role(self, role: ZoneRole, loads: PeerLoads) -> None:
         if role is not self.role:
-            note(_LOG, "part in zone changed", role=role.value, nodes=len(self._members))
+            note(_LOG, "zone role changed", role=role.value, nodes=len(self._members))
         self.role = role
         self._endpoints.others = loads
 
     async def _subscribe_to_relay(self, relay: Member) -> None:
-        """Follow a relay until it is lost or a better one can be tried."""
+        """Subscribe to a relay until it is lost or a better one can be tried."""
         own = self._members.own
         connected = False
 
@@ -170,9 +170,10 @@
         note(_LOG, "relay lost", relay=relay.node_id, heard=connected, reason=reason)
 
     def _has_better_relay(self, relay: Member) -> bool:
-        """Tell whether another node should relay.
+        """Return whether another node should relay.
 
-        One that knows only itself has no list yet, and stays with whoever asked it.
+        A node that knows only itself has no list yet, and stays with the relay that connected to
+        it.
         """
         if len(self._members) == 1:
             return False
@@ -240,7 +241,7 @@
         return [each for each in self._agents if assigned.get(each.place) == own]
 
     async def _subscribe_to_zone(self, place: PlaceName) -> None:
-        """Follow a relay of another zone until cancelled."""
+        """Subscribe to a relay of another zone until cancelled."""
         source = NodeId(place)
         own = self._members.own.node_id
         try:
@@ -265,7 +266,7 @@
                 )
                 self._members.record_relay(relay, connected=False)
                 if not connected:
-                    # Nobody there may tell of it: its whole zone may be dark.
+                    # No other node may be left to report the loss: the whole zone may be down.
                     self._members.update_states({relay.node_id: NodeState.LOST})
                 note(_LOG, "zone lost", place=place, relay=relay.node_id, reason=reason)
         finally:
--- a/packages/wrenloft-routing/src/wrenloft_routing/_zone_view.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_zone_view.py
@@ -1,4 +1,4 @@
-"""What a relay has heard of its zone and of the others, and what each follower was told of it."""
+"""A relay's view of its own zone and the others, and the frames that subscribers get of it."""
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -12,18 +12,18 @@
 from wrenloft_routing._store_snapshots import SharedSnapshot
 
 SUM_CACHE_SECONDS = 0.01
-"""How long a sum over all nodes is used again: followers asked in one turn are told the same."""
+"""How long a sum over all nodes is cached: subscribers served in one round share it."""
 
 REPORTED_LOAD_INTERVAL_SECONDS = 0.4
-"""Least time between two tellings of an engine's own count of requests. What nodes have in progress
-says the same sooner; the count serves only while some node is not heard."""
+"""Least time between two frames with an engine's own count of requests. Loads of nodes show the
+same sooner; the count is used only while some node is unreachable."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """An engine's report as its agent told it.
+    """An engine's report as received from its agent.
 
-    :param place: the zone whose relay hears that agent.
+    :param place: the zone whose relay is connected to that agent.
     """
 
     report: EngineReport
@@ -32,10 +32,10 @@
 
 
 class ZoneView:
-    """All that a relay knows.
+    """Merged state of the fleet as known to a relay.
 
-    :param list_queues: returns what waits at this node for each service.
-    :param crashes: of contents, as this node knows them from itself and from others.
+    :param list_queues: returns the queue at this node for each service.
+    :param crashes: crash records by content, from this node and from others.
     """
 
     def __init__(
@@ -57,31 +57,31 @@
         self._summed_at = float("-inf")
 
     def record_node(self, node: NodeId, update: LoadUpdate) -> None:
-        """Take what a node of this zone has in progress."""
+        """Record the load update of a node of this zone."""
         self._zone_loads.record(node, update, read_clock())
         self.fleet_loads.record(node, update, read_clock())
 
     def record_zone(self, place: PlaceName, update: LoadUpdate) -> None:
-        """Take what the nodes of another zone have in progress together."""
+        """Record the merged load update of another zone."""
         self.fleet_loads.record(NodeId(place), update, read_clock())
 
     def forget(self, source: NodeId) -> None:
-        """Drop the word of a node, or of a zone: it begins anew, or is silent."""
+        """Drop all loads of a node or zone that restarted its stream or stopped sending."""
         self._zone_loads.forget(source)
         self.fleet_loads.forget(source)
 
     def record_report(self, address: str, report: EngineReport, place: PlaceName) -> None:
-        """Take an engine's report."""
+        """Record an engine's report."""
         self.reports[address] = ReceivedReport(report, place, read_clock())
 
     def forget_report(self, address: str) -> None:
-        """Take that an engine's agent is no longer heard."""
+        """Drop the report of an engine whose agent is no longer connected."""
         self.reports.pop(address, None)
 
     def refresh_reports(self, place: PlaceName, lost: Iterable[str]) -> list[str]:
-        """Take that a zone's relay still hears its agents but those that it lost.
+        """Refresh the reports of a zone's agents, except those whose connection its relay lost.
 
-        :returns: the addresses of the engines whose agents it hears.
+        :returns: the addresses of the engines whose reports were refreshed.
         """
         for address in lost:
             self.forget_report(address)
@@ -92,7 +92,7 @@
         return refreshed
 
     def drop_expired(self) -> None:
-        """Drop what has not been heard of for too long."""
+        """Drop loads and reports that have expired."""
         now = read_clock()
         self._zone_loads.drop_expired(now)
         self.fleet_loads.drop_expired(now)
@@ -101,7 +101,7 @@
                 del self.reports[address]
 
     def sum_loads(self, scope: FrameScope, subscriber: NodeId) -> dict[AgentId, InProgress]:
-        """Return the requests in progress that a follower does not know by itself."""
+        """Return the requests in progress, without those that a subscriber has sent itself."""
         self._refresh_sums()
         sums = self._sums[scope].copy()
         if scope is FrameScope.FLEET:
@@ -119,13 +119,13 @@
         self._sums[FrameScope.FLEET] = _add_loads(own, self.fleet_loads.get_sums())
 
     def count_reachable(self, scope: FrameScope, subscriber: NodeId) -> int:
-        """Return how many nodes such sums tell of."""
+        """Return the number of nodes that such sums cover."""
         if scope is FrameScope.ZONE:
             return 1 + self._zone_loads.count_reachable()
         return 1 + self.fleet_loads.count_reachable() - self._zone_loads.is_reachable(subscriber)
 
     def sum_queues(self, scope: FrameScope, subscriber: NodeId) -> dict[ServiceName, QueueLength]:
-        """Return the requests that wait elsewhere than at a follower, by service."""
+        """Return the requests queued at nodes other than the subscriber, by service."""
         queues = self._list_queues()
         loads = self._zone_loads if scope is FrameScope.ZONE else self.fleet_loads
         for name, queue in loads.sum_queues(exclude=subscriber).items():
@@ -133,7 +133,7 @@
         return queues
 
     def list_reports(self, scope: FrameScope) -> dict[str, EngineReport]:
-        """Return the engines' reports that a follower wants."""
+        """Return the engines' reports for a subscriber."""
         own = self._members.own.place
         return {
             address: each.report
@@ -142,7 +142,7 @@
         }
 
     def list_states(self, scope: FrameScope) -> dict[NodeId, NodeState]:
-        """Return what is known of nodes, which a follower wants."""
+        """Return the states of entry nodes for a subscriber."""
         places = self._members.list_places()
         own = self._members.own.place
         wanted = [own] if scope is FrameScope.ZONE else {own, *places}
@@ -163,7 +163,7 @@
 
 
 class FrameWriter:
-    """Makes the frames for one follower: what has changed since the last one."""
+    """Composes the frames for one subscriber: changes since the previous frame."""
 
     def __init__(
         self,
@@ -187,7 +187,7 @@
         self._begun_at: dict[str, float] = {}
 
     def compose(self, now: float) -> tuple[Frame, bool]:
-        """Return the next frame, and whether it tells anything new."""
+        """Return the next frame, and whether it contains any change."""
         deltas = tuple(change for each in self._snapshots if (change := self._diff_snapshot(each)))
         if self._scope is FrameScope.STORE:
             return Frame(now, store_deltas=deltas), False
--- a/packages/wrenloft-routing/tests/test_beliefs.py
+++ b/packages/wrenloft-routing/tests/test_beliefs.py
@@ -1,4 +1,4 @@
-"""Tests of what a node believes of the store, of endpoints and of other nodes, and for how long."""
+"""Tests of a node's state of the store, endpoints and other nodes, and when it expires."""
 
 import asyncio
 from collections.abc import Callable
@@ -60,10 +60,10 @@
 class TestEndpoints:
     """Tests for ``Endpoints``."""
 
-    def test_leaving_outlives_an_older_reading(self) -> None:
-        """An endpoint that said it leaves gets nothing more.
+    def test_leaving_outlives_an_older_snapshot(self) -> None:
+        """An endpoint that is leaving must get no more requests.
 
-        A reading from before it said so arrives afterwards, from a node that was slow.
+        A snapshot from before it was marked may arrive afterwards, from a slow node.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a", leaving=True)], trusted=True)
@@ -71,17 +71,17 @@
         assert endpoints.of_service(SERVICE)[0].leaving
 
     def test_leaving_outlives_a_lapsed_entry(self) -> None:
-        """The mark holds also when the entry vanishes and comes back."""
+        """The leaving mark survives an entry that expires and returns."""
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a", leaving=True)], trusted=True)
         endpoints.update([], trusted=True)
         endpoints.update([_endpoint("a")], trusted=True)
         assert endpoints.of_service(SERVICE)[0].leaving
 
-    def test_missing_entry_is_gone_only_if_the_reading_is_trusted(self) -> None:
-        """Entries lapse while the store is away; their endpoints still serve.
+    def test_missing_entry_is_gone_only_if_the_snapshot_is_trusted(self) -> None:
+        """Entries expire during an outage of the store while their endpoints still serve.
 
-        Once the store has been back for a while, a missing entry is a left endpoint at once.
+        Once the store has been back for a while, a missing entry means that the endpoint has left.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a")], trusted=True)
@@ -91,7 +91,7 @@
         assert not endpoints.of_service(SERVICE)
 
     def test_lapsed_endpoint_that_returns_is_used_again(self) -> None:
-        """Being gone is no mark of leaving."""
+        """An expired entry is not a leaving mark."""
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a")], trusted=True)
         endpoints.update([], trusted=True)
@@ -99,10 +99,10 @@
         assert not endpoints.of_service(SERVICE)[0].leaving
 
     def test_endpoint_that_starts_again_has_left_nothing(self) -> None:
-        """An endpoint drains, ends, and starts again under the id that it had.
+        """An endpoint drains, ends, and starts again under the same id.
 
-        Kept as leaving, it would get no request for the rest of its life. The marks of the former
-        incarnation, its failures and its sends end with it.
+        Kept as leaving, it would never get a request again. Leaving mark, failures and sends of the
+        former incarnation end with it.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a", leaving=True, born=1000)], trusted=True)
@@ -111,10 +111,10 @@
         (state,) = endpoints.of_service(SERVICE)
         assert (state.leaving, state.failures) == (False, 0)
 
-    def test_word_of_an_earlier_incarnation_changes_nothing(self) -> None:
-        """A node that was slow passes on a reading from before the endpoint started again.
+    def test_report_of_an_earlier_incarnation_changes_nothing(self) -> None:
+        """A slow node may pass on a snapshot from before an endpoint's restart.
 
-        Neither the list nor a report of the former incarnation may speak for the new one.
+        Neither the list nor a report of the former incarnation may change the new one's state.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a", born=2000)], trusted=True)
@@ -123,10 +123,10 @@
         (state,) = endpoints.of_service(SERVICE)
         assert (state.leaving, state.endpoint.born, state.report) == (False, 2000, None)
 
-    def test_report_of_a_new_incarnation_goes_before_the_list(self) -> None:
-        """The list is seconds behind and still names what the engine held before its restart.
+    def test_report_of_a_new_incarnation_overrides_the_list(self) -> None:
+        """The list is seconds old and names the weights from before the engine's restart.
 
-        Sent there, requests would be rejected one after the other until the list has changed.
+        Requests sent by it would be rejected one after the other until the list has changed.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a", versions={"m": 3}, born=1000)], trusted=True)
@@ -135,7 +135,7 @@
         assert state.weights_of("m", 200.0).span is None
 
     def test_sends_since_a_report_count(self) -> None:
-        """Between two reports an idle engine does not look idle to the node that fills it."""
+        """Sends since a report count: an engine mustn't look idle to the node that fills it."""
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a")], trusted=True)
         now = read_clock()
@@ -146,10 +146,10 @@
         load = endpoints.measure(state, now + 0.2)
         assert (load.running, load.waiting, load.sent_since) == (2, 1, 3)
 
-    def test_a_report_ends_the_count_of_what_was_sent_before(self) -> None:
-        """A report shows the engine as it was a quarter of a second before it arrived.
+    def test_report_resets_the_count_of_earlier_sends(self) -> None:
+        """A report shows the engine as it was a quarter of a second before its arrival.
 
-        Requests sent in that time count as recent, from which the sends of other nodes are guessed.
+        Requests sent in that time count as recent; sends of other nodes are estimated from them.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a")], trusted=True)
@@ -164,7 +164,7 @@
     def test_old_report_of_loading_does_not_keep_requests_away(self) -> None:
         """An agent dies while its engine loads; the engine serves again and gets requests.
 
-        Its last report, that the engine loads, would otherwise hold until the agent is back.
+        Its last report, that the engine is loading, would otherwise count until the agent is back.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a", versions={"m": 1})], trusted=True)
@@ -174,9 +174,9 @@
         assert state.weights_of("m", 105.0).span == EVERY_LAYER
 
     def test_engine_that_gave_up_a_version_is_not_used_because_of_the_list(self) -> None:
-        """An engine drops one version for the next; the list still names the old one.
+        """An engine drops a version for the next while the list still names the old one.
 
-        Requests sent by the list would be rejected, and count against the budget.
+        Requests sent by the list would be rejected and count against the retry budget.
         """
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a", versions={"m": 1})], trusted=True)
@@ -185,7 +185,7 @@
         assert state.weights_of("m", 100.1).span is None
 
     def test_failures_keep_requests_away_longer_each_time(self) -> None:
-        """A flapping endpoint is tried ever less often, up to a bound, and forgiven at once."""
+        """A flapping endpoint is tried ever less often, up to a bound; one success resets it."""
         endpoints = Endpoints(PLACE, REGION)
         endpoints.update([_endpoint("a")], trusted=True)
         state = endpoints.of_service(SERVICE)[0]
@@ -204,41 +204,41 @@
 
     @pytest.mark.parametrize("nodes", [1, 3, 9])
     def test_all_nodes_together_stay_within_the_allowance(self, nodes: int) -> None:
-        """Whatever the callers do, second tries stay below the shared bound in every window.
+        """Retries of all nodes together must stay below the shared bound in every window.
 
-        All nodes spend whatever they may, with ten requests a second each, for a minute.
+        All nodes retry as often as their budgets allow, at ten requests per second each.
         """
         budgets = [SharedBudget(0.2, 106.0, 10.0, nodes) for _ in range(nodes)]
-        spent: list[float] = []
+        retries: list[float] = []
         for tenth in range(600):
             now = tenth / 10
             for budget in budgets:
                 budget.earn(SERVICE, now)
                 while budget.spend(SERVICE, now):
-                    spent.append(now)
+                    retries.append(now)
         for start in range(50):
-            inside = sum(start <= at < start + 10 for at in spent)
+            inside = sum(start <= at < start + 10 for at in retries)
             assert inside <= 0.2 * nodes * 100 + 106
 
 
 class TestCurrencyProof:
     """Tests for ``CurrencyProof``."""
 
-    def test_keys_need_a_young_proof(self) -> None:
-        """Without one, before the first and after the bound, no key may be used."""
+    def test_keys_need_a_recent_proof(self) -> None:
+        """No key may be used before the first proof or after the newest one has expired."""
         proof = CurrencyProof(5.0)
         assert not proof.allows_keys()
         proof.record(read_clock())
         assert proof.allows_keys()
 
     def test_proof_counts_from_the_beginning_of_its_read(self) -> None:
-        """An answer that took four seconds proves what was true four seconds ago."""
+        """A response that took four seconds proves what was true four seconds ago."""
         proof = CurrencyProof(5.0)
         proof.record(read_clock() - 4.5)
         assert not proof.allows_keys()
 
-    def test_late_answer_does_not_take_a_younger_proof_away(self) -> None:
-        """Answers overtake each other; the youngest counts."""
+    def test_late_response_does_not_replace_a_newer_proof(self) -> None:
+        """Responses may arrive out of order; the newest proof counts."""
         proof = CurrencyProof(5.0)
         proof.record(read_clock())
         proof.record(read_clock() - 60.0)
@@ -249,7 +249,7 @@
     """Tests for ``EventSplitter``."""
 
     def test_cuts_at_any_place(self) -> None:
-        """Wherever the network cuts, the same whole events come out."""
+        """The same complete events come out wherever the network splits the data."""
         data = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
         for cut in range(len(data)):
             splitter = EventSplitter()
@@ -262,31 +262,31 @@
 class TestMembers:
     """Tests for ``Members``."""
 
-    def test_callers_get_the_nearest_that_are_enough(self) -> None:
-        """Two nodes in the caller's zone suffice; one does not."""
+    def test_callers_get_the_nearest_sufficient_nodes(self) -> None:
+        """Two nodes in the caller's zone suffice; one doesn't."""
         members = Members(_member("a"))
         members.update([_member("b"), _member("c", "q")])
         assert members.choose_addresses(PLACE, REGION) == ["a:80", "b:80"]
         assert len(members.choose_addresses(PlaceName("q"), REGION)) == 3
 
-    def test_lost_node_is_no_longer_named(self) -> None:
-        """A node that its zone's relay has lost, or that says it is not ready, is out at once."""
+    def test_lost_node_is_no_longer_returned(self) -> None:
+        """A node that its relay has lost, or that isn't ready, is excluded at once."""
         members = Members(_member("a"))
         members.update([_member("b"), _member("c"), _member("d")])
         assert "b:80" in members.choose_addresses(PLACE, REGION)
         members.update_states({NodeId("b"): NodeState.LOST, NodeId("c"): NodeState.UNREADY})
         assert members.choose_addresses(PLACE, REGION) == ["a:80", "d:80"]
 
-    def test_cut_off_node_names_all_it_knows(self) -> None:
-        """A node that hears nobody and is not ready itself still gives callers somewhere to go."""
+    def test_isolated_node_returns_all_addresses(self) -> None:
+        """A node that reaches no other and isn't ready still returns addresses to callers."""
         members = Members(_member("a"))
         members.update([_member("b")])
         members.own.state = NodeState.UNREADY
         members.update_states({NodeId("b"): NodeState.LOST})
         assert len(members.choose_addresses(PLACE, REGION)) == 2
 
-    def test_lapsed_entry_of_a_live_node_stays(self) -> None:
-        """Entries lapse while the store is away; nodes that are heard of are still there."""
+    def test_live_node_with_expired_entry_stays(self) -> None:
+        """Entries expire during an outage of the store; reachable nodes stay."""
         members = Members(_member("a"))
         members.update([_member("b"), _member("c")])
         members.update_states({NodeId("b"): NodeState.READY, NodeId("c"): NodeState.LOST})
@@ -294,12 +294,10 @@
         assert members.get(NodeId("b")) is not None
         assert members.get(NodeId("c")) is None
 
-    def test_relay_that_was_lost_is_passed_over_for_a_while(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
-        """A node's relay dies. It asks the next, at last itself, and later the first again.
+    def test_lost_relay_is_skipped_for_a_while(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """A node whose relay dies tries the next, at last itself, and later the first again.
 
-        Each further loss in a row keeps a relay out for longer, so that a dark one costs little.
+        Each further loss in a row excludes a relay for longer, so that a dead one costs little.
         """
         clock = _Clock()
         monkeypatch.setattr("wrenloft_routing._members.read_clock", clock.read)
@@ -316,8 +314,8 @@
         clock.now += 1.5
         assert members.pick_relay(PLACE) is members.rank_place(PLACE)[0]
 
-    def test_dark_zone_is_tried_again(self) -> None:
-        """All relays of another zone were lost; it may be back, and nobody else would tell."""
+    def test_unreachable_zone_is_retried(self) -> None:
+        """A zone whose relays were all lost may be back, and no other node would report it."""
         members = Members(_member("a"))
         members.update([_member("x", "q"), _member("y", "q")])
         members.update_states({NodeId("x"): NodeState.LOST, NodeId("y"): NodeState.LOST})
@@ -334,23 +332,23 @@
 
 def _shared(
     fetch: Callable[[], Any],
-    taken: list[ReceivedSnapshot],
+    received: list[ReceivedSnapshot],
     session: ClientSession,
     role: ZoneRole = ZoneRole.RELAYING,
     members: Members | None = None,
 ) -> tuple[SharedSnapshot, Members]:
     members = members or Members(_member("a"))
     shared = SharedSnapshot(
-        "x", fetch, taken.append, 0.01, members, session, lambda: role, Random(7), Signal()
+        "x", fetch, received.append, 0.01, members, session, lambda: role, Random(7), Signal()
     )
     return shared, members
 
 
-class TestSharedReading:
+class TestSharedSnapshot:
     """Tests for ``SharedSnapshot``."""
 
     async def test_reads_the_store_and_recovers(self) -> None:
-        """Readings go on after the store was away."""
+        """Reads resume after an outage of the store."""
         outcomes: list[Any] = [1, None, None, 2]
 
         async def fetch() -> StoreSnapshot:
@@ -359,93 +357,93 @@
                 raise PlatformUnavailableError("away", step="list")
             return StoreSnapshot((Item("k", b"v", outcome),), outcome)
 
-        taken: list[ReceivedSnapshot] = []
+        received: list[ReceivedSnapshot] = []
         async with ClientSession() as session:
-            shared, _ = _shared(fetch, taken, session)
+            shared, _ = _shared(fetch, received, session)
             task = asyncio.create_task(shared.run())
             async with asyncio.timeout(5):
-                while not taken or taken[-1].snapshot.revision != 2:
+                while not received or received[-1].snapshot.revision != 2:
                     await asyncio.sleep(0.01)
             task.cancel()
-        assert taken[0].snapshot.revision == 1
+        assert received[0].snapshot.revision == 1
 
-    async def test_returns_are_trusted_only_after_a_while(
+    async def test_missing_entries_are_trusted_only_a_while_after_an_outage(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Right after an outage a missing entry may have lapsed; two seconds later it is gone.
+        """Right after an outage a missing entry may have expired; two seconds later it was removed.
 
-        A single late reading is no outage, and changes nothing.
+        A single late read is not an outage and changes nothing.
         """
         clock = _Clock()
         monkeypatch.setattr("wrenloft_routing._store_snapshots.read_clock", clock.read)
-        taken: list[ReceivedSnapshot] = []
+        received: list[ReceivedSnapshot] = []
 
         async def fetch() -> StoreSnapshot:
             return StoreSnapshot((), 5)
 
         async with ClientSession() as session:
-            shared, _ = _shared(fetch, taken, session)
+            shared, _ = _shared(fetch, received, session)
             trusted = []
             for pause in (0.0, 0.7, 1.8, 6.0, 1.0, 1.0, 1.0):
                 clock.now += pause
                 await shared.read()
-                trusted.append(taken[-1].trusted)
+                trusted.append(received[-1].trusted)
         assert trusted == [True, True, True, False, False, False, True]
 
-    async def test_older_reading_is_not_taken(self) -> None:
-        """A neighbour's older reading that arrives late never reverts a newer one."""
-        taken: list[ReceivedSnapshot] = []
+    async def test_older_snapshot_is_ignored(self) -> None:
+        """An older snapshot of a neighbour that arrives late never replaces a newer one."""
+        received: list[ReceivedSnapshot] = []
 
         async def fetch() -> StoreSnapshot:
             raise PlatformUnavailableError("away", step="list")
 
         async with ClientSession() as session:
-            shared, _ = _shared(fetch, taken, session)
+            shared, _ = _shared(fetch, received, session)
             shared.accept(ReceivedSnapshot(StoreSnapshot((), 7), 100.0, True))
             shared.accept(ReceivedSnapshot(StoreSnapshot((), 6), 101.0, True))
-        assert [each.snapshot.revision for each in taken] == [7]
+        assert [each.snapshot.revision for each in received] == [7]
 
     async def test_one_relay_reads_for_all(self) -> None:
-        """Of all relays the first zone's reads; the others take over when it falls silent.
+        """The first zone's relay reads the store; the others take over in order when it fails.
 
-        Without an order, each change of reader would let all of them call the store at once.
+        Without an order, all relays would call the store at once at each change of reader.
         """
-        delays = []
+        read_delays = []
         async with ClientSession() as session:
             for place in ("p", "q", "r"):
                 members = Members(_member("a", place))
                 members.update([_member(f"n{each}", each) for each in ("p", "q", "r")])
                 shared, _ = _shared(_fail, [], session, members=members)
-                delays.append(shared._measure_read_delay())
-        assert delays[0] == 0.01
-        assert 0.015 < delays[1] < delays[2]
+                read_delays.append(shared._measure_read_delay())
+        assert read_delays[0] == 0.01
+        assert 0.015 < read_delays[1] < read_delays[2]
 
     async def test_change_is_read_at_once(self) -> None:
-        """A version of weights is named just after a read; its deadline runs from now on.
+        """A version of weights is published just after a read, and its deadline runs from then.
 
-        Read at the next interval, it would be known to the agents up to 0.8 s late.
+        Read at the next interval, it would reach the agents up to 0.8 s late.
         """
         revision = 1
 
         async def fetch() -> StoreSnapshot:
             return StoreSnapshot((Item("k", b"v", revision),), revision)
 
-        taken: list[ReceivedSnapshot] = []
+        received: list[ReceivedSnapshot] = []
         async with ClientSession() as session:
-            shared, _ = _shared(fetch, taken, session)
+            shared, _ = _shared(fetch, received, session)
             shared._interval = 60.0
             task = asyncio.create_task(shared.run())
             async with asyncio.timeout(10):
-                while not taken:
+                while not received:
                     await asyncio.sleep(0.01)
                 revision = 2
                 shared.request_refresh()
-                while taken[-1].snapshot.revision != 2:
+                while received[-1].snapshot.revision != 2:
                     await asyncio.sleep(0.01)
             task.cancel()
 
-    async def test_store_that_is_away_gets_few_calls_from_many_nodes(self) -> None:
-        """The store is down, and 40 nodes of a zone have no fresh reading for two seconds.
+    async def test_unavailable_store_gets_few_calls_from_many_nodes(self) -> None:
+        """The store is down, and 40 nodes of a zone have no recent snapshot for two seconds.
 
         Each on its own would call six times a second, 480 times in all.
         """
@@ -470,21 +468,21 @@
             await asyncio.gather(*tasks, return_exceptions=True)
         assert calls < 40
 
-    async def test_node_whose_relay_has_no_fresh_reading_reads_itself(self) -> None:
-        """The store turns the zone's relay away, and serves this node."""
+    async def test_node_whose_relay_has_no_recent_snapshot_reads_itself(self) -> None:
+        """The store refuses the zone's relay but serves this node."""
 
         async def fetch() -> StoreSnapshot:
             return StoreSnapshot((), 3)
 
-        taken: list[ReceivedSnapshot] = []
+        received: list[ReceivedSnapshot] = []
         async with ClientSession() as session:
-            shared, _ = _shared(fetch, taken, session, ZoneRole.SUBSCRIBED)
+            shared, _ = _shared(fetch, received, session, ZoneRole.SUBSCRIBED)
             task = asyncio.create_task(shared.run())
             async with asyncio.timeout(10):
-                while not taken:
+                while not received:
                     await asyncio.sleep(0.01)
             task.cancel()
-        assert taken[0].snapshot.revision == 3
+        assert received[0].snapshot.revision == 3
 
 
 async def _fail() -> StoreSnapshot:
--- a/packages/wrenloft-routing/tests/test_zone.py
+++ b/packages/wrenloft-routing/tests/test_zone.py
@@ -1,4 +1,4 @@
-"""Tests of frames, of what a relay gathers, and of nodes that follow one over the loopback."""
+"""Tests of frames, of a relay's merged view, and of nodes that subscribe over the loopback."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -89,14 +89,14 @@
 items = st.builds(
     Item, key=st.sampled_from("abc"), value=st.binary(max_size=4), revision=st.integers(1, 9)
 )
-crash_news = st.dictionaries(
+crash_updates = st.dictionaries(
     st.sampled_from([ContentId("c1"), ContentId("c2")]),
     st.dictionaries(
         st.sampled_from([IncarnationId("e1@5"), IncarnationId("e2@0")]),
         st.builds(ToldCrash, age=st.sampled_from([0.0, 1.25]), standing=st.sampled_from(Standing)),
     ),
 )
-limit_news = st.dictionaries(
+limit_updates = st.dictionaries(
     st.sampled_from([IncarnationId("e1@5"), IncarnationId("e2@0")]),
     st.builds(
         RateLimit,
@@ -127,28 +127,30 @@
         ),
         max_size=2,
     ).map(tuple),
-    crashes=crash_news,
-    limits=limit_news,
+    crashes=crash_updates,
+    limits=limit_updates,
 )
 
 
 class TestCodec:
-    """Tests of how frames and updates are encoded."""
+    """Tests of the encoding of frames and updates."""
 
     @given(frames)
-    def test_frame_comes_back_as_it_was(self, frame: Frame) -> None:
-        """Nothing of a frame is lost or changed on its way."""
+    def test_frame_round_trips(self, frame: Frame) -> None:
+        """Nothing of a frame is lost or changed by encoding."""
         assert decode_frame(encode_frame(frame)) == frame
 
-    @given(st.booleans(), st.dictionaries(agents, in_progress), queues, crash_news, limit_news)
-    def test_update_comes_back_as_it_was(self, ready, loads, waiting, crashes, limits) -> None:
-        """The same holds for what nodes tell."""
+    @given(
+        st.booleans(), st.dictionaries(agents, in_progress), queues, crash_updates, limit_updates
+    )
+    def test_update_round_trips(self, ready, loads, waiting, crashes, limits) -> None:
+        """Nothing of an update is lost or changed by encoding."""
         update = NodeUpdate(ready, LoadUpdate(loads, waiting), crashes, limits)
         assert decode_update(encode_update(update)) == update
 
     @given(st.one_of(st.binary(max_size=40), st.text(max_size=40).map(str.encode)))
-    def test_any_bytes_are_refused_in_one_way(self, line: bytes) -> None:
-        """A peer that sends anything else costs its connection, and never the task that reads."""
+    def test_malformed_lines_raise_value_error(self, line: bytes) -> None:
+        """Malformed data from a peer costs its connection, never the task that reads it."""
         for decode in (decode_frame, decode_update):
             with pytest.raises(ValueError):
                 decode(line)
@@ -156,15 +158,15 @@
 
 @dataclass
 class _Relay:
-    """A relay's state, without a network."""
+    """A relay's state without a network."""
 
     endpoints: Endpoints
     members: Members
     view: ZoneView
     shared: SharedSnapshot
 
-    def follow(self, scope: FrameScope, follower: str = "f") -> FrameWriter:
-        return FrameWriter(self.view, [self.shared], scope, NodeId(follower))
+    def open_writer(self, scope: FrameScope, subscriber: str = "f") -> FrameWriter:
+        return FrameWriter(self.view, [self.shared], scope, NodeId(subscriber))
 
 
 @asynccontextmanager
@@ -194,10 +196,10 @@
 class TestFrameWriter:
     """Tests for ``FrameWriter``."""
 
-    async def test_follower_is_not_told_its_own_requests(self) -> None:
-        """A node knows what it has sent itself, sooner than its relay.
+    async def test_subscriber_does_not_get_its_own_requests(self) -> None:
+        """A node would count its own requests twice and refuse callers for it.
 
-        Told of it too, it would count each of its requests twice and refuse callers for it.
+        It knows its own sends sooner than its relay does, so frames leave them out.
         """
         async with _relay() as relay:
             own, other = NodeId("f"), NodeId("g")
@@ -206,16 +208,16 @@
             relay.view.record_zone(
                 PlaceName("q"), LoadUpdate({ENGINE: InProgress(0, 0, 4)}, {}, nodes=5)
             )
-            frame, _ = relay.follow(FrameScope.FLEET).compose(1.0)
+            frame, _ = relay.open_writer(FrameScope.FLEET).compose(1.0)
             assert frame.loads == {ENGINE: InProgress(2, 20, 7)}
             assert frame.node_count == 1 + 1 + 5
-            zone, _ = relay.follow(FrameScope.ZONE).compose(1.0)
+            zone, _ = relay.open_writer(FrameScope.ZONE).compose(1.0)
             assert zone.loads == {ENGINE: InProgress(3, 30, 5)}
 
-    async def test_only_changes_are_told(self) -> None:
-        """A frame without news is short, and an endpoint that became idle is told once."""
+    async def test_only_changes_are_sent(self) -> None:
+        """A frame without changes is short, and an endpoint that became idle is sent once."""
         async with _relay() as relay:
-            writer = relay.follow(FrameScope.FLEET)
+            writer = relay.open_writer(FrameScope.FLEET)
             node = NodeId("g")
             relay.view.record_node(node, LoadUpdate({ENGINE: InProgress(1, 10, 0)}, {}))
             assert writer.compose(1.0)[0].loads
@@ -225,10 +227,10 @@
             relay.view._summed_at = 0.0
             assert writer.compose(3.0)[0].loads == {ENGINE: InProgress()}
 
-    async def test_lost_agent_is_told(self) -> None:
-        """An engine's agent falls silent: what it said last must not pass for fresh elsewhere."""
+    async def test_lost_agent_is_reported(self) -> None:
+        """An agent's connection is lost: its last report must not count as current elsewhere."""
         async with _relay() as relay:
-            writer = relay.follow(FrameScope.FLEET)
+            writer = relay.open_writer(FrameScope.FLEET)
             report = EngineReport(1, 0, 2, False, 1.0)
             relay.view.record_report("h:1", report, PlaceName("p"))
             assert writer.compose(1.0)[0].reports == {"h:1": report}
@@ -236,11 +238,11 @@
             assert writer.compose(2.0)[0].lost == ("h:1",)
 
     @pytest.mark.parametrize("seed", range(20))
-    async def test_mirror_follows_whatever_is_read(self, seed: int) -> None:
-        """Entries come, change and go between frames; the follower has what the relay has."""
+    async def test_mirror_matches_every_read(self, seed: int) -> None:
+        """Entries are added, changed and removed between frames; the subscriber has the same."""
         random = Random(seed)
         async with _relay() as relay:
-            writer = relay.follow(FrameScope.STORE)
+            writer = relay.open_writer(FrameScope.STORE)
             mirror = SnapshotMirror(0.0)
             mirrored: dict[str, int] = {}
             content: dict[str, int] = {}
@@ -251,34 +253,34 @@
                 else:
                     content[key] = revision
                 found = tuple(Item(each, b"v", number) for each, number in content.items())
-                taken = ReceivedSnapshot(StoreSnapshot(found, revision), read_clock(), True)
-                relay.shared.accept(taken)
+                received = ReceivedSnapshot(StoreSnapshot(found, revision), read_clock(), True)
+                relay.shared.accept(received)
                 if random.random() < 0.6:
                     frame, _ = writer.compose(read_clock())
                     for change in decode_frame(encode_frame(frame)).store_deltas:
-                        reading = mirror.apply(change).snapshot
-                        mirrored = {each.key: each.revision for each in reading.items}
+                        snapshot = mirror.apply(change).snapshot
+                        mirrored = {each.key: each.revision for each in snapshot.items}
                     assert mirrored == content
 
 
-class TestReadingMirror:
+class TestSnapshotMirror:
     """Tests for ``SnapshotMirror``."""
 
-    def test_reading_never_looks_younger_than_it_is(self) -> None:
-        """A relay's host has been up for another time, and its frame was long on its way.
+    def test_snapshot_never_looks_newer_than_it_is(self) -> None:
+        """A removed key would stay valid for as long again as its frame was delayed.
 
-        Keys that were taken away are refused by the age of the proof: counted from the frame's
-        arrival, a key would be good for as long again as the frame was held up.
+        Keys are refused by the age of their proof. The relay's clock has another origin, so ages
+        must be bounded by the time of the request, not by the frame's arrival.
         """
-        asked_at, made_at_by_relay = 100.0, 5000.0
-        mirror = SnapshotMirror(made_at_by_relay - asked_at)
-        change = StoreDelta("x", made_at_by_relay - 3.0, True, 7, (), ())
-        assert mirror.apply(change).begun_at == asked_at - 3.0
+        requested_at, sent_at_by_relay = 100.0, 5000.0
+        mirror = SnapshotMirror(sent_at_by_relay - requested_at)
+        change = StoreDelta("x", sent_at_by_relay - 3.0, True, 7, (), ())
+        assert mirror.apply(change).begun_at == requested_at - 3.0
 
 
 @dataclass
 class _Node:
-    """An entry node's links, with a listener of its own."""
+    """An entry node's links with a listener of its own."""
 
     name: str
     place: str
@@ -325,13 +327,13 @@
         state.change(InProgress(running=running))
 
     @property
-    def hears(self) -> int:
+    def running_elsewhere(self) -> int:
         return self.endpoints.others.get_load(ENGINE).running
 
 
 @asynccontextmanager
 async def _fleet(*names: str) -> AsyncIterator[dict[str, _Node]]:
-    """Run nodes whose names begin with their zone, and know one another from the store."""
+    """Run nodes whose names begin with their zone and that know one another from the store."""
     async with AsyncExitStack() as stack:
         session = await stack.enter_async_context(ClientSession())
         nodes = {name: _Node(name, name[0], session) for name in names}
@@ -355,29 +357,29 @@
         yield nodes
 
 
-async def _wait_for(holds: Callable[[], bool]) -> None:
+async def _wait_for(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(20):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
 class TestZoneLink:
-    """Tests for ``ZoneLink``, several nodes in one process."""
+    """Tests for ``ZoneLink`` with several nodes in one process."""
 
     NAMES = ("p1", "p2", "p3", "p4", "q1", "q2")
 
     async def test_requests_of_each_node_reach_all_others(self) -> None:
-        """Six nodes in two zones see one another's sends, and no node its own twice."""
+        """Six nodes in two zones see one another's requests, and no node its own twice."""
         async with _fleet(*self.NAMES) as nodes:
             for weight, node in enumerate(nodes.values()):
                 node.send(2**weight)
             total = 2 ** len(nodes) - 1
             for weight, node in enumerate(nodes.values()):
-                await _wait_for(lambda n=node, w=weight: n.hears == total - 2**w)
+                await _wait_for(lambda n=node, w=weight: n.running_elsewhere == total - 2**w)
             assert all(node.endpoints.others.count_reachable() == 5 for node in nodes.values())
 
     async def test_one_relay_serves_its_zone(self) -> None:
-        """Connections of a node that relays for nobody don't grow with the fleet."""
+        """Connections of a node that isn't a relay don't grow with the fleet."""
         async with _fleet(*self.NAMES) as nodes:
             await _wait_for(
                 lambda: all(node.link.role is not ZoneRole.STARTING for node in nodes.values())
@@ -386,16 +388,16 @@
             assert sorted(name[0] for name in relaying) == ["p", "q"]
 
     async def test_relay_that_dies_is_replaced(self, caplog: pytest.LogCaptureFixture) -> None:
-        """The node that relays for a zone dies while all others have requests in progress.
+        """A zone's relay dies while all nodes have requests in progress.
 
-        They follow the next one, hear one another again, and none of them names the dead one. Its
-        own requests stop counting.
+        The others subscribe to the next relay and receive one another's loads again, none of them
+        gives callers the dead node's address, and its own requests are no longer counted.
         """
         caplog.set_level("INFO")
         async with _fleet(*self.NAMES) as nodes:
             for node in nodes.values():
                 node.send(1)
-            await _wait_for(lambda: all(node.hears == 5 for node in nodes.values()))
+            await _wait_for(lambda: all(node.running_elsewhere == 5 for node in nodes.values()))
             (relay,) = [
                 name
                 for name, node in nodes.items()
@@ -403,7 +405,7 @@
             ]
             dead = nodes.pop(relay)
             await dead.stack.aclose()
-            await _wait_for(lambda: all(node.hears == 4 for node in nodes.values()))
+            await _wait_for(lambda: all(node.running_elsewhere == 4 for node in nodes.values()))
             near = [node for node in nodes.values() if node.place == "p"]
             await _wait_for(
                 lambda: all(
@@ -414,51 +416,55 @@
             )
         assert sum(record.message == "relay lost" for record in caplog.records) >= 3
 
-    async def test_node_that_starts_while_the_store_is_away_follows_who_asks(self) -> None:
-        """A node starts anew during an outage of the store, and cannot read who else is there.
+    async def test_node_that_starts_without_the_store_subscribes_to_its_relay(self) -> None:
+        """A node that starts during an outage of the store cannot read the list of nodes.
 
-        The relay still knows its address and asks it for its load; the node follows that one,
-        and so has the configuration and the endpoints within a second instead of after the outage.
+        The relay still knows its address and requests its loads; the node subscribes to that relay,
+        and so has configuration and endpoints within a second instead of after the outage.
         """
         async with _fleet("p1", "p2", "p3") as nodes:
             for node in nodes.values():
                 node.send(1)
-            await _wait_for(lambda: all(node.hears == 2 for node in nodes.values()))
+            await _wait_for(lambda: all(node.running_elsewhere == 2 for node in nodes.values()))
             (relay,) = [node for node in nodes.values() if node.link.role is ZoneRole.RELAYING]
-            late = _Node("p9", "p", relay.session)
-            await late.start()
-            late.run()
-            async with late.stack:
-                assert late.link.role is ZoneRole.STARTING
+            latecomer = _Node("p9", "p", relay.session)
+            await latecomer.start()
+            latecomer.run()
+            async with latecomer.stack:
+                assert latecomer.link.role is ZoneRole.STARTING
                 relay.members.update(
                     [
                         *(relay.members.others(near=True)),
                         Member(
-                            NodeId("p9"), PlaceName("p"), REGION, "p9:80", late.members.own.internal
+                            NodeId("p9"),
+                            PlaceName("p"),
+                            REGION,
+                            "p9:80",
+                            latecomer.members.own.internal,
                         ),
                     ]
                 )
-                await _wait_for(lambda: late.hears == 3)
+                await _wait_for(lambda: latecomer.running_elsewhere == 3)
                 await asyncio.sleep(5 * CHECK_INTERVAL_SECONDS)
-                assert late.link.role is ZoneRole.SUBSCRIBED
+                assert latecomer.link.role is ZoneRole.SUBSCRIBED
 
 
-class TestNodeFollower:
+class TestNodeSubscriber:
     """Tests for ``NodeSubscriber``."""
 
-    async def test_loss_of_a_node_is_logged_once_and_it_is_heard_again(
+    async def test_loss_of_a_node_is_logged_once_and_it_is_reconnected(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """A node dies while its relay follows it, and is back at the same address.
+        """A node dies while its relay is subscribed to it, and returns at the same address.
 
-        Whoever looks for why engines were misjudged then finds when its requests did not count: a
-        line when it is lost, however often it is tried meanwhile, and one when it is heard again.
+        The log must show when its requests weren't counted: one line at its loss, however often
+        reconnecting fails meanwhile, and one when it is connected again.
         """
         caplog.set_level("INFO")
-        told = Endpoints(PlaceName("p"), REGION)
+        source = Endpoints(PlaceName("p"), REGION)
         own = Member(NodeId("n2"), PlaceName("p"), REGION, "n2:80", "")
         routes = LoadRoutes(
-            told,
+            source,
             Members(own),
             lambda: {SERVICE: QueueLength(fresh=3)},
             lambda: True,
@@ -473,9 +479,11 @@
             relay.members.update(
                 [Member(node.node_id, PlaceName("p"), REGION, "n2:80", node.address)]
             )
-            followers = Subscriptions(NodeSubscriber(relay.view, relay.members, session).subscribe)
-            stack.push_async_callback(followers.close)
-            followers.update([node])
+            subscriptions = Subscriptions(
+                NodeSubscriber(relay.view, relay.members, session).subscribe
+            )
+            stack.push_async_callback(subscriptions.close)
+            subscriptions.update([node])
             await _wait_for(lambda: relay.view.fleet_loads.get_queue(SERVICE).fresh == 3)
             await first.cleanup()
             await _wait_for(lambda: _count(caplog, "node lost") == 1)
@@ -485,9 +493,9 @@
             stack.push_async_callback(second.cleanup)
             await _wait_for(lambda: relay.view.fleet_loads.get_queue(SERVICE).fresh == 3)
         assert _count(caplog, "node lost") == 1
-        judged = [each.fields["state"] for each in caplog.records if hasattr(each, "fields")
-                  and each.message == "entry node judged"]  # fmt: skip
-        assert judged == ["ready", "lost", "ready"]
+        states = [each.fields["state"] for each in caplog.records if hasattr(each, "fields")
+                  and each.message == "entry node state changed"]  # fmt: skip
+        assert states == ["ready", "lost", "ready"]
 
 
 async def _listen(routes: LoadRoutes, port: int) -> web.AppRunner:
