--- a/bench/limits.py
+++ b/bench/limits.py
@@ -106,7 +106,7 @@
         stack.push_async_callback(runner.cleanup)
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         address = f"127.0.0.1:{runner.addresses[0][1]}"
-        for member in [*members.others(near=True), *members.others(near=False)]:
+        for member in [*members.list_others(near=True), *members.list_others(near=False)]:
             member.internal = address
         session = await stack.enter_async_context(ClientSession())
         grants = GrantClient(endpoints, members, limiter, session, Random(1))
--- a/packages/wrenloft-routing/src/wrenloft_routing/_members.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_members.py
@@ -56,7 +56,7 @@
 
     @property
     def is_advertised(self) -> bool:
-        """Whether its address is given to callers; an unknown node counts as ready, as listed."""
+        """Whether its address is given to callers; a node in unknown state counts as ready."""
         return self.state in (NodeState.UNKNOWN, NodeState.READY)
 
 
@@ -88,7 +88,7 @@
                 del self._members[node_id]
                 note(_LOG, "entry node gone", node=node_id)
 
-    def others(self, *, near: bool) -> list[Member]:
+    def list_others(self, *, near: bool) -> list[Member]:
         """Return the other nodes: those of this availability zone, or all the rest."""
         return [
             each
@@ -108,7 +108,7 @@
         ]
 
     def count_groups(self, place: PlaceName) -> tuple[Group, Group]:
-        """Return the reachable and listed nodes of a zone and of the fleet, as counts."""
+        """Return the numbers of reachable and of listed nodes, for a zone and for the fleet."""
         reachable = self.list_reachable()
         zone_reachable = sum(each.place == place for each in reachable)
         zone_listed = sum(each.place == place for each in self._members.values())
@@ -143,7 +143,7 @@
             {each.place for each in self._members.values() if each.state is not NodeState.LOST}
         )
 
-    def rank_place(self, place: PlaceName) -> list[Member]:
+    def rank_members(self, place: PlaceName) -> list[Member]:
         """Return a zone's nodes in the order in which they relay, the strongest first."""
         among = [each for each in self._members.values() if each.place == place]
         order = rank_relays([RelayCandidate(each.node_id, each.strength) for each in among])
@@ -155,7 +155,7 @@
         This node's own zone has at least itself: a node that reaches no other relays for itself.
         """
         now = read_clock()
-        ranked = [each for each in self.rank_place(place) if each.avoided_until <= now]
+        ranked = [each for each in self.rank_members(place) if each.avoided_until <= now]
         live = [each for each in ranked if each.state is not NodeState.LOST or each is self.own]
         return next(iter([*live, *ranked]), None)
 
@@ -168,7 +168,7 @@
         member.losses += 1
         member.avoided_until = read_clock() + pause
 
-    def pick_other(self, random: Random) -> Member | None:
+    def pick_reachable(self, random: Random) -> Member | None:
         """Return a random reachable node."""
         reachable = [
             each
--- a/packages/wrenloft-routing/src/wrenloft_routing/_store_snapshots.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_store_snapshots.py
@@ -160,7 +160,7 @@
                 continue
             if await self.read():
                 continue
-            other = self._members.pick_other(self._random)
+            other = self._members.pick_reachable(self._random)
             if other is not None:
                 await self._fetch_from_peer(other)
             await asyncio.sleep(self._pick_pause())
--- a/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
@@ -229,10 +229,12 @@
         return now < self._aggregate_until
 
     def _list_zone_peers(self) -> list[NodePeer]:
-        return [NodePeer(each.node_id, each.internal) for each in self._members.others(near=True)]
+        return [
+            NodePeer(each.node_id, each.internal) for each in self._members.list_others(near=True)
+        ]
 
     def _list_other_zones(self) -> list[PlaceName]:
-        return sorted({each.place for each in self._members.others(near=False)})
+        return sorted({each.place for each in self._members.list_others(near=False)})
 
     def _list_agents(self) -> list[AgentPeer]:
         own = self._members.own.place
--- a/packages/wrenloft-routing/tests/test_beliefs.py
+++ b/packages/wrenloft-routing/tests/test_beliefs.py
@@ -304,7 +304,7 @@
         own = _member("z")
         members = Members(own)
         members.update([_member("b"), _member("c")])
-        order = [each.node_id for each in members.rank_place(PLACE)]
+        order = [each.node_id for each in members.rank_members(PLACE)]
         picked = []
         while (relay := members.pick_relay(PLACE)) is not own:
             assert relay is not None
@@ -312,7 +312,7 @@
             members.record_relay(relay, connected=False)
         assert picked == order[: order.index(own.node_id)]
         clock.now += 1.5
-        assert members.pick_relay(PLACE) is members.rank_place(PLACE)[0]
+        assert members.pick_relay(PLACE) is members.rank_members(PLACE)[0]
 
     def test_unreachable_zone_is_retried(self) -> None:
         """A zone whose relays were all lost may be back, and no other node would report it."""
--- a/packages/wrenloft-routing/tests/test_limit_fleet.py
+++ b/packages/wrenloft-routing/tests/test_limit_fleet.py
@@ -144,11 +144,11 @@
             if node.up:
                 node.ledger.observe(ENDPOINT, self.name_limit(), limit_known=known)
 
-    def set_state(self, lost: Node, state: NodeState) -> None:
+    def set_state(self, node: Node, state: NodeState) -> None:
         """Set a node's state at all other nodes."""
         for each in self.nodes:
-            if each is not lost:
-                each.members.update_states({lost.name: state})
+            if each is not node:
+                each.members.update_states({node.name: state})
 
     def schedule(self, seconds: float, action: Callable[[], None]) -> None:
         self.later.append((self.now + seconds, action))
--- a/packages/wrenloft-routing/tests/test_zone.py
+++ b/packages/wrenloft-routing/tests/test_zone.py
@@ -434,7 +434,7 @@
                 assert latecomer.link.role is ZoneRole.STARTING
                 relay.members.update(
                     [
-                        *(relay.members.others(near=True)),
+                        *(relay.members.list_others(near=True)),
                         Member(
                             NodeId("p9"),
                             PlaceName("p"),
