--- a/packages/wrenloft-routing/tests/test_loads.py
+++ b/packages/wrenloft-routing/tests/test_loads.py
@@ -143,9 +143,9 @@
         return gates
 
     @staticmethod
-    def _request(spent: float = 0.0) -> PlacementRequest:
+    def _request(elapsed: float = 0.0) -> PlacementRequest:
         now = read_clock()
-        return PlacementRequest(BACKEND, 1, 1000.0, now, spent, aim=0.4, deadline=now + 6.0)
+        return PlacementRequest(BACKEND, 1, 1000.0, now, elapsed, aim=0.4, deadline=now + 6.0)
 
     async def test_restarted_engine_is_not_overloaded(self) -> None:
         """Nodes that see the same idle engine would overload it together.
@@ -171,7 +171,7 @@
         The response to a caller who was refused before is late whenever it comes.
         """
         gate = self._gates()[0]
-        task = asyncio.create_task(gate.place(self._request(spent=1.5), ()))
+        task = asyncio.create_task(gate.place(self._request(elapsed=1.5), ()))
         await asyncio.sleep(0.05)
         assert not task.done()
         task.cancel()
