--- a/bench/limits.py
+++ b/bench/limits.py
@@ -23,9 +23,9 @@
     EndpointState,
     Frame,
     Gate,
+    GrantClient,
     GrantRequest,
     GrantRoutes,
-    Grants,
     Limiter,
     LimitLedger,
     Member,
@@ -56,7 +56,7 @@
     ]
     members = Members(listed[0])
     members.update(listed)
-    members.take_states({each.node_id: NodeState.READY for each in listed})
+    members.update_states({each.node_id: NodeState.READY for each in listed})
     return members
 
 
@@ -106,15 +106,15 @@
         stack.push_async_callback(runner.cleanup)
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         address = f"127.0.0.1:{runner.addresses[0][1]}"
-        for member in [*members.others(near=True), *members.others(near=False)]:
+        for member in [*members.list_others(near=True), *members.list_others(near=False)]:
             member.internal = address
         session = await stack.enter_async_context(ClientSession())
-        grants = Grants(endpoints, members, limiter, session, Random(1))
+        grants = GrantClient(endpoints, members, limiter, session, Random(1))
         states = [each for each in endpoints.of_service(SERVICE) if _is_asked(each, limiter)]
-        await grants.take(states[:1], 1)
+        await grants.acquire(states[:1], 1)
         begun = process_time()
         for _ in range(QUESTIONS):
-            await grants.take(states[:1], 1)
+            await grants.acquire(states[:1], 1)
         return (process_time() - begun) / QUESTIONS * 1e6
 
 
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -254,7 +254,7 @@
         "if agent_id not in seen and trusted:",
         "if agent_id not in seen:",
         f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
-        "::test_missing_entry_is_gone_only_if_the_reading_is_trusted",
+        "::test_missing_entry_is_gone_only_if_the_snapshot_is_trusted",
     ),
     Safeguard(
         "routing: a report of a dropped version takes precedence over the list",
@@ -386,7 +386,7 @@
         "if report.born >= state.endpoint.born:",
         "if True:",
         f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
-        "::test_word_of_an_earlier_incarnation_changes_nothing",
+        "::test_report_of_an_earlier_incarnation_changes_nothing",
     ),
     Safeguard(
         "an entry names a configured service",
@@ -399,16 +399,16 @@
     Safeguard(
         "a request that waits takes spare capacity at random",
         f"{ROUTING}/_gate.py",
-        "if queue.fresh + queue.late <= 1:",
+        "if queue.fresh + queue.overdue <= 1:",
         "if True:",
-        f"{ROUTING_TESTS}/test_loads.py::TestContention::test_engine_that_is_back_is_not_flooded",
+        f"{ROUTING_TESTS}/test_loads.py::TestContention::test_restarted_engine_is_not_overloaded",
     ),
     Safeguard(
-        "silent nodes stop counting",
+        "loads of silent nodes stop counting",
         f"{ROUTING}/_loads.py",
-        "if now - at > HEARD_SECONDS:",
+        "if now - at > LOAD_TTL_SECONDS:",
         "if False:",
-        f"{ROUTING_TESTS}/test_loads.py::TestPeerLoads::test_silent_node_stops_counting",
+        f"{ROUTING_TESTS}/test_loads.py::TestPeerLoads::test_expired_node_is_not_counted",
     ),
     Safeguard(
         "a version deadline is no failure of the engine",
@@ -435,44 +435,43 @@
         "::test_requests_are_kept_away_while_the_version_after_is_fetched",
     ),
     Safeguard(
-        "a follower is not told its own requests",
+        "a subscriber does not get its own requests",
         f"{ROUTING}/_zone_view.py",
         "sums[agent_id] = sums.get(agent_id, NO_LOAD) - load",
         "sums[agent_id] = sums.get(agent_id, NO_LOAD)",
         f"{ROUTING_TESTS}/test_zone.py::TestFrameWriter"
-        "::test_follower_is_not_told_its_own_requests",
+        "::test_subscriber_does_not_get_its_own_requests",
     ),
     Safeguard(
-        "a reading never looks younger than it is",
-        f"{ROUTING}/_readings.py",
+        "a snapshot never looks newer than it is",
+        f"{ROUTING}/_store_snapshots.py",
         "change.begun_at - self._clock_lead",
         "change.begun_at",
-        f"{ROUTING_TESTS}/test_zone.py::TestReadingMirror"
-        "::test_reading_never_looks_younger_than_it_is",
+        f"{ROUTING_TESTS}/test_zone.py::TestSnapshotMirror"
+        "::test_snapshot_never_looks_newer_than_it_is",
     ),
     Safeguard(
-        "a lost relay is passed over",
+        "a lost relay is skipped",
         f"{ROUTING}/_members.py",
         "member.avoided_until = read_clock() + pause",
         "member.avoided_until = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestMembers"
-        "::test_relay_that_was_lost_is_passed_over_for_a_while",
+        f"{ROUTING_TESTS}/test_beliefs.py::TestMembers" "::test_lost_relay_is_skipped_for_a_while",
     ),
     Safeguard(
-        "a node that knows only itself stays with who asked it",
+        "a node that knows only itself stays with its relay",
         f"{ROUTING}/_zone.py",
         "        if len(self._members) == 1:\n            return False\n",
         "",
         f"{ROUTING_TESTS}/test_zone.py::TestZoneLink"
-        "::test_node_that_starts_while_the_store_is_away_follows_who_asks",
+        "::test_node_that_starts_without_the_store_subscribes_to_its_relay",
     ),
     Safeguard(
         "other nodes of a zone read the store in turns",
-        f"{ROUTING}/_readings.py",
+        f"{ROUTING}/_store_snapshots.py",
         "wait = self._random.uniform(0.0, 2.0 * DIRECT_READ_SECONDS * nodes)",
         "wait = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestSharedReading"
-        "::test_store_that_is_away_gets_few_calls_from_many_nodes",
+        f"{ROUTING_TESTS}/test_beliefs.py::TestSharedSnapshot"
+        "::test_unavailable_store_gets_few_calls_from_many_nodes",
     ),
     Safeguard(
         "relays take over reading in turn",
@@ -482,19 +481,19 @@
         f"{POLICY_TESTS}/test_relays.py::TestMaxSnapshotAge::test_relays_take_over_in_turn",
     ),
     Safeguard(
-        "a look counts what it sent",
-        f"{ROUTING}/_snapshot.py",
+        "a snapshot counts what was sent",
+        f"{ROUTING}/_endpoint_snapshot.py",
         "waiting=load.waiting + 1",
         "waiting=load.waiting",
-        f"{ROUTING_TESTS}/test_snapshot.py::TestSnapshot::test_requests_of_one_moment_spread",
+        f"{ROUTING_TESTS}/test_snapshot.py::TestEndpointSnapshot::test_requests_of_one_moment_spread",
     ),
     Safeguard(
-        "a look ends when it changes who can be used",
-        f"{ROUTING}/_snapshot.py",
+        "a snapshot ends when it changes which endpoints are eligible",
+        f"{ROUTING}/_endpoint_snapshot.py",
         "return self.revision == revision and now",
         "return now",
-        f"{ROUTING_TESTS}/test_snapshot.py::TestSnapshot"
-        "::test_leaving_endpoint_gets_nothing_from_an_older_look",
+        f"{ROUTING_TESTS}/test_snapshot.py::TestEndpointSnapshot"
+        "::test_leaving_endpoint_gets_nothing_from_an_older_snapshot",
     ),
     Safeguard(
         "chunks are not late while the origin is drained",
@@ -523,18 +522,17 @@
     Safeguard(
         "the store's content goes deflated",
         f"{ROUTING}/_packing.py",
-        "<= PLAIN_BYTES:",
-        "<= PLAIN_BYTES * PLAIN_BYTES:",
+        "<= MAX_PLAIN_BYTES:",
+        "<= MAX_PLAIN_BYTES * MAX_PLAIN_BYTES:",
         f"{ROUTING_TESTS}/test_packing.py::TestPackItems"
-        "::test_all_nodes_of_a_zone_are_told_within_the_time_to_serve",
+        "::test_endpoints_reach_all_nodes_of_a_zone_in_time_to_serve",
     ),
     Safeguard(
         "deflated text is taken out up to a length",
         f"{ROUTING}/_packing.py",
         "if not inflater.eof:",
         "if False:",
-        f"{ROUTING_TESTS}/test_packing.py::TestPackItems"
-        "::test_what_is_no_packed_text_is_refused",
+        f"{ROUTING_TESTS}/test_packing.py::TestPackItems" "::test_malformed_packed_text_is_refused",
     ),
     Safeguard(
         "a list's revision is its first page's",
@@ -730,7 +728,7 @@
         "an endpoint that answers has not failed",
         f"{ROUTING}/_failure_detector.py",
         "if liveness is Liveness.REFUSED:",
-        "if liveness is not Liveness.SILENT:",
+        "if liveness is not Liveness.UNREACHABLE:",
         f"{ROUTING_TESTS}/test_failure_detector.py"
         "::test_broken_connection_to_a_live_endpoint_is_no_failure",
     ),
@@ -819,11 +817,11 @@
         "::test_request_tries_few_of_many_limited_endpoints",
     ),
     Safeguard(
-        "a limiter's bucket begins empty",
+        "a limiter's bucket starts empty",
         f"{ROUTING}/_limiter.py",
         "_Account(Bucket(0.0, now))",
         "_Account(Bucket(2.0, now))",
-        f"{ROUTING_TESTS}/test_limiter.py::test_bucket_begins_empty",
+        f"{ROUTING_TESTS}/test_limiter.py::test_bucket_starts_empty",
     ),
     Safeguard(
         "only the limiter grants",
@@ -883,7 +881,7 @@
         "a limit binds one incarnation",
         f"{ROUTING}/_endpoints.py",
         "return self.limits.find_rate(state.endpoint.incarnation) if self.limits else None",
-        "return next((each.rate for each in self.limits.list_in_force()), None)",
+        "return next((each.rate for each in self.limits.list_active()), None)",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
         "::test_restarted_endpoint_is_not_limited",
     ),
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endpoints.py
@@ -414,7 +414,7 @@
         pace = 1.0
         if state.report is not None and state.has_fresh_report(now):
             pace = max(1.0, state.report.pace)
-        in_progress = state.in_progress + self.peer_loads.at(state.endpoint.agent_id)
+        in_progress = state.in_progress + self.peer_loads.get_load(state.endpoint.agent_id)
         load = EndpointLoad(
             key=state.endpoint.agent_id,
             slots=state.endpoint.slots,
--- a/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frames.py
@@ -1,7 +1,7 @@
-"""What a relay tells: of loads, engines, nodes and the store's content, as changes.
+"""Frames that a relay sends: changes of loads, engines, nodes and the store's content.
 
-Times in a frame are on the sender's clock. Both clocks count suspensions and run at the same rate,
-so the difference, bounded once for each connection, translates every later time.
+Times in a frame are on the sender's clock. Both clocks include suspensions and run at the same
+rate, so the offset, bounded once per connection, converts every later time.
 """
 
 import json
@@ -13,30 +13,30 @@
 from wrenloft_policy import CrashStatus, LayerSpan, RateLimit
 from wrenloft_routing._crash_ledger import CrashUpdates, ReportedCrash
 from wrenloft_routing._endpoints import EngineReport
-from wrenloft_routing._limit_ledger import LimitNews
+from wrenloft_routing._limit_ledger import LimitUpdates
 from wrenloft_routing._loads import InProgress, QueueLength
 from wrenloft_routing._members import NodeState
 from wrenloft_routing._packing import Item, pack_items, unpack_items
 
 
 class FrameScope(Enum):
-    """What a follower wants to hear of.
+    """Content that a subscriber wants.
 
-    ``FLEET`` is for nodes of the relay's zone, ``ZONE`` for relays of other zones, and
-    ``READINGS`` for agents, which need no more than the store's content.
+    ``FLEET`` is for nodes of the relay's zone, ``ZONE`` for relays of other zones, and ``STORE``
+    for agents, which need only the store's content.
     """
 
     FLEET = "fleet"
     ZONE = "zone"
-    READINGS = "readings"
+    STORE = "readings"
 
 
 @dataclass(frozen=True, slots=True)
-class ReadingChange:
-    """How a reading differs from the last one told.
+class StoreDelta:
+    """Changes of a store snapshot since the last one sent.
 
-    :param begun_at: when the read of the store was begun, on the sender's clock.
-    :param trusted: whether missing entries are gone, and not only lapsed.
+    :param begun_at: when the read of the store began, on the sender's clock.
+    :param trusted: whether missing entries were removed, rather than only expired.
     """
 
     name: str
@@ -51,33 +51,33 @@
 class Frame:
     """One message of a relay.
 
-    :param at: when it was made, on the sender's clock.
-    :param heard: nodes whose requests are counted in ``loads``.
-    :param loads: at each endpoint where they have changed.
-    :param queues: requests that wait, by service.
-    :param reports: of engines, by address, where they have changed.
-    :param lost: addresses of engines whose agents are no longer heard.
-    :param states: of entry nodes, where they have changed.
-    :param readings: of the store.
-    :param crashes: of contents, where something new is known.
-    :param limits: that endpoints name, where they have changed.
+    :param sent_at: when it was composed, on the sender's clock.
+    :param node_count: number of nodes whose requests ``loads`` covers.
+    :param loads: load at each endpoint where it has changed.
+    :param queues: queued requests by service.
+    :param reports: reports of engines by address, where they have changed.
+    :param lost: addresses of engines whose agents are no longer connected.
+    :param states: states of entry nodes, where they have changed.
+    :param store_deltas: changes of store snapshots.
+    :param crashes: new crash records by content.
+    :param limits: rate limits of endpoints, where they have changed.
     """
 
-    at: float
-    heard: int = 0
+    sent_at: float
+    node_count: int = 0
     loads: dict[AgentId, InProgress] | None = None
     queues: dict[ServiceName, QueueLength] | None = None
     reports: dict[str, EngineReport] | None = None
     lost: tuple[str, ...] = ()
     states: dict[NodeId, NodeState] | None = None
-    readings: tuple[ReadingChange, ...] = ()
+    store_deltas: tuple[StoreDelta, ...] = ()
     crashes: CrashUpdates | None = None
-    limits: LimitNews | None = None
+    limits: LimitUpdates | None = None
 
 
 def encode_frame(frame: Frame) -> bytes:
     """Encode a frame as one line."""
-    fields: dict[str, Any] = {"at": frame.at, "heard": frame.heard}
+    fields: dict[str, Any] = {"at": frame.sent_at, "heard": frame.node_count}
     if frame.loads:
         fields["loads"] = encode_loads(frame.loads)
     if frame.queues:
@@ -90,8 +90,8 @@
         fields["lost"] = frame.lost
     if frame.states:
         fields["states"] = {node: state.value for node, state in frame.states.items()}
-    if frame.readings:
-        fields["readings"] = [_encode_reading(each) for each in frame.readings]
+    if frame.store_deltas:
+        fields["readings"] = [_encode_delta(each) for each in frame.store_deltas]
     if frame.crashes:
         fields["crashes"] = encode_crashes(frame.crashes)
     if frame.limits:
@@ -102,18 +102,18 @@
 def decode_frame(line: bytes) -> Frame:
     """Decode one line.
 
-    :raises ValueError: if it is no frame.
+    :raises ValueError: if the line is not a frame.
     """
     try:
         return _decode_fields(json.loads(line))
     except (KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise ValueError(f"no frame: {error!r}") from error
+        raise ValueError(f"line is not a frame: {error!r}") from error
 
 
 def _decode_fields(fields: dict[str, Any]) -> Frame:
     return Frame(
-        at=float(fields["at"]),
-        heard=int(fields["heard"]),
+        sent_at=float(fields["at"]),
+        node_count=int(fields["heard"]),
         loads=decode_loads(fields.get("loads", [])),
         queues=decode_queues(fields.get("queues", [])),
         reports={
@@ -121,25 +121,25 @@
         },
         lost=tuple(str(each) for each in fields.get("lost", [])),
         states={NodeId(node): NodeState(value) for node, value in fields.get("states", {}).items()},
-        readings=tuple(_decode_reading(each) for each in fields.get("readings", [])),
+        store_deltas=tuple(_decode_delta(each) for each in fields.get("readings", [])),
         crashes=decode_crashes(fields.get("crashes", {})),
         limits=decode_limits(fields.get("limits", [])),
     )
 
 
-def encode_crashes(news: CrashUpdates) -> dict[str, list[list[Any]]]:
-    """Return rows for each content."""
+def encode_crashes(updates: CrashUpdates) -> dict[str, list[list[Any]]]:
+    """Encode crash records as rows for each content."""
     return {
         content: [
-            [incarnation, round(told.age, 3), int(told.status)]
-            for incarnation, told in crashes.items()
+            [incarnation, round(crash.age, 3), int(crash.status)]
+            for incarnation, crash in crashes.items()
         ]
-        for content, crashes in news.items()
+        for content, crashes in updates.items()
     }
 
 
 def decode_crashes(rows: dict[str, list[list[Any]]]) -> CrashUpdates:
-    """Return what rows say."""
+    """Decode the rows of crash records."""
     return {
         ContentId(str(content)): {
             IncarnationId(str(incarnation)): ReportedCrash(float(age), CrashStatus(standing))
@@ -149,15 +149,15 @@
     }
 
 
-def encode_limits(news: LimitNews) -> list[list[Any]] | str:
-    """Return the limits as items are told: deflated where there are many."""
-    return pack_items([_write_limit(*each) for each in news.items()])
+def encode_limits(updates: LimitUpdates) -> list[list[Any]] | str:
+    """Encode limits as packed items."""
+    return pack_items([_write_limit(*each) for each in updates.items()])
 
 
-def decode_limits(packed: Any) -> LimitNews:
-    """Return what was told.
+def decode_limits(packed: Any) -> LimitUpdates:
+    """Decode packed limits.
 
-    :raises ValueError: if it is no such text.
+    :raises ValueError: if the text is malformed.
     """
     return dict(_read_limit(each) for each in unpack_items(packed))
 
@@ -173,12 +173,12 @@
 
 
 def encode_limit(incarnation: IncarnationId, limit: RateLimit) -> list[Any]:
-    """Return one endpoint's limit as a row."""
+    """Encode one endpoint's limit as a row."""
     return [incarnation, limit.rate, limit.missing, limit.sequence, limit.node]
 
 
 def decode_limit(row: list[Any]) -> tuple[IncarnationId, RateLimit]:
-    """Return what a row says."""
+    """Decode the row of one endpoint's limit."""
     incarnation, rate, missing, sequence, node = row
     rate = None if rate is None else float(rate)
     limit = RateLimit(rate, int(missing), int(sequence), str(node))
@@ -186,7 +186,7 @@
 
 
 def encode_loads(loads: dict[AgentId, InProgress]) -> list[list[Any]]:
-    """Return one row for each endpoint."""
+    """Encode loads as one row for each endpoint."""
     return [
         [agent_id, load.unread, load.unread_tokens, load.running]
         for agent_id, load in loads.items()
@@ -194,7 +194,7 @@
 
 
 def decode_loads(rows: list[list[Any]]) -> dict[AgentId, InProgress]:
-    """Return what rows say."""
+    """Decode the rows of loads."""
     return {
         AgentId(str(agent_id)): InProgress(int(unread), int(tokens), int(running))
         for agent_id, unread, tokens, running in rows
@@ -202,14 +202,15 @@
 
 
 def encode_queues(queues: dict[ServiceName, QueueLength]) -> list[list[Any]]:
-    """Return one row for each service."""
-    return [[service, queue.fresh, queue.late] for service, queue in queues.items()]
+    """Encode queues as one row for each service."""
+    return [[service, queue.fresh, queue.overdue] for service, queue in queues.items()]
 
 
 def decode_queues(rows: list[list[Any]]) -> dict[ServiceName, QueueLength]:
-    """Return what rows say."""
+    """Decode the rows of queues."""
     return {
-        ServiceName(str(name)): QueueLength(int(fresh), int(late)) for name, fresh, late in rows
+        ServiceName(str(name)): QueueLength(int(fresh), int(overdue))
+        for name, fresh, overdue in rows
     }
 
 
@@ -240,7 +241,7 @@
     )
 
 
-def _encode_reading(change: ReadingChange) -> list[Any]:
+def _encode_delta(change: StoreDelta) -> list[Any]:
     return [
         change.name,
         change.begun_at,
@@ -251,9 +252,9 @@
     ]
 
 
-def _decode_reading(row: list[Any]) -> ReadingChange:
+def _decode_delta(row: list[Any]) -> StoreDelta:
     name, begun_at, trusted, revision, packed, removed = row
-    return ReadingChange(
+    return StoreDelta(
         name=str(name),
         begun_at=float(begun_at),
         trusted=bool(trusted),
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -29,9 +29,9 @@
     predict_first_byte,
 )
 from wrenloft_routing._chains import ChainStage, Eligible, list_eligible
+from wrenloft_routing._endpoint_snapshot import EndpointSnapshot, RateLimitReset
 from wrenloft_routing._endpoints import Endpoints, EndpointState
 from wrenloft_routing._loads import QueueLength
-from wrenloft_routing._snapshot import Opening, Snapshot
 from wrenloft_routing._table import BackendService
 
 DEFAULT_WORK_SECONDS = 0.03
@@ -175,7 +175,7 @@
         self._count_nodes = count_nodes
         self._update_interval = update_interval
         self._fresh_refused_at: dict[ServiceName, float] = {}
-        self._snapshots: dict[tuple[ServiceName, bool], Snapshot] = {}
+        self._snapshots: dict[tuple[ServiceName, bool], EndpointSnapshot] = {}
 
     def record_work_seconds(self, service: ServiceName, seconds: float) -> None:
         """Record the time that a plain service needed for an answer."""
@@ -249,9 +249,9 @@
         choice, verdict = self._choose_endpoint(request, snapshot, now)
         if verdict is Verdict.SEND and choice is not None:
             chosen = snapshot.find(choice.key)
-            snapshot.count_sent(choice.key, request.prompt_tokens)
-            return self._place_at(request, chosen, choice.prediction, len(snapshot.able), now)
-        opening = snapshot.opening if request.can_request_grants else None
+            snapshot.record_sent(choice.key, request.prompt_tokens)
+            return self._place_at(request, chosen, choice.prediction, len(snapshot.eligible), now)
+        opening = snapshot.rate_limit_reset if request.can_request_grants else None
         if choice is None and opening is not None and request.urgency < opening.urgency:
             idle = self._predict_idle(request, snapshot.work)
             return self._place_at(request, opening.least_urgent, idle, 1, now)
@@ -263,7 +263,9 @@
             if choice is None:
                 return Refused(f"none of {known} endpoints can take it", 0)
             needed = compute_objective_seconds(choice.prediction, request.service.engine)
-            return Refused(f"best of {len(snapshot.able)} needs {needed:.3f} s", len(snapshot.able))
+            return Refused(
+                f"best of {len(snapshot.eligible)} needs {needed:.3f} s", len(snapshot.eligible)
+            )
         return None
 
     def _place_at(
@@ -281,17 +283,17 @@
         return Placed(chosen.state, prediction, candidates, version, chosen.chain)
 
     def _find_turn(
-        self, request: PlacementRequest, snapshot: Snapshot, now: float
+        self, request: PlacementRequest, snapshot: EndpointSnapshot, now: float
     ) -> LimitedTurn | None:
         """Return the expected turn of a request if only rate limits prevent sending it."""
-        opening = snapshot.opening
+        opening = snapshot.rate_limit_reset
         if opening is None:
             return None
         service = request.service.name
         ahead = self._count_ahead(request)
-        elsewhere = self._endpoints.peer_loads.queue_of(service)
+        elsewhere = self._endpoints.peer_loads.get_queue(service)
         wait = max(0.0, opening.at - now) + (ahead + elsewhere.fresh) / opening.rate
-        waiting = len(self._waiting[service]) + elsewhere.fresh + elsewhere.late
+        waiting = len(self._waiting[service]) + elsewhere.fresh + elsewhere.overdue
         return LimitedTurn(wait, opening.rate, waiting)
 
     def _decide_turn(
@@ -317,7 +319,7 @@
 
     def _get_snapshot(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
-    ) -> Snapshot:
+    ) -> EndpointSnapshot:
         """Return a snapshot of a service's endpoints, at most a moment old.
 
         :param limited: whether to include endpoints with a rate limit.
@@ -333,13 +335,13 @@
         opening = None
         if all(each.limited for each in loads):
             opening = self._find_opening(service, tried, now, limited=limited)
-        snapshot = Snapshot(now, revision, eligible, loads, service.engine, work, opening)
+        snapshot = EndpointSnapshot(now, revision, eligible, loads, service.engine, work, opening)
         if not tried:
             self._snapshots[key] = snapshot
         return snapshot
 
     def _choose_endpoint(
-        self, request: PlacementRequest, snapshot: Snapshot, now: float
+        self, request: PlacementRequest, snapshot: EndpointSnapshot, now: float
     ) -> tuple[EndpointChoice | None, Verdict]:
         """Choose an endpoint, and decide whether to send the request there now."""
         engine = request.service.engine
@@ -387,7 +389,7 @@
         return earlier + sum(each.order < request.order for each in queue[place + 1 :])
 
     def _should_defer(
-        self, request: PlacementRequest, snapshot: Snapshot, limit: float, now: float
+        self, request: PlacementRequest, snapshot: EndpointSnapshot, limit: float, now: float
     ) -> bool:
         """Return whether a request leaves the spare capacity to others, here or elsewhere.
 
@@ -404,13 +406,13 @@
         if now < request.not_before:
             return True
         queue = self._count_queue(request.service.name)
-        queue += self._endpoints.peer_loads.queue_of(request.service.name)
-        if queue.fresh + queue.late <= 1:
+        queue += self._endpoints.peer_loads.get_queue(request.service.name)
+        if queue.fresh + queue.overdue <= 1:
             return False
         share = OVERDUE_OBJECTIVE_SHARE if request.is_overdue else 1.0
         capacity = snapshot.count_spare_slots(engine, limit * share)
         if self._random.random() < compute_send_probability(
-            capacity, queue.fresh, queue.late, for_overdue=request.is_overdue
+            capacity, queue.fresh, queue.overdue, for_overdue=request.is_overdue
         ):
             return False
         request.not_before = now + self._update_interval()
@@ -440,9 +442,9 @@
     def _measure_loads(
         self, eligible: Sequence[Eligible], service: BackendService, now: float
     ) -> list[EndpointLoad]:
-        self._endpoints.peer_loads.drop_silent(now)
+        self._endpoints.peer_loads.drop_expired(now)
         unreachable = count_unreachable(
-            self._count_nodes(), self._endpoints.peer_loads.count_heard()
+            self._count_nodes(), self._endpoints.peer_loads.count_reachable()
         )
         loads = [
             self._endpoints.measure_load(each.state, now, all_reachable=not unreachable)
@@ -466,7 +468,7 @@
 
     def _find_opening(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
-    ) -> Opening | None:
+    ) -> RateLimitReset | None:
         """Return when endpoints that are excluded only by rate limits take a request again.
 
         :param limited: whether a request may use those that have not denied one.
@@ -482,7 +484,7 @@
             return None
         pauses = [each.state.denial for each in eligible if each.state.denial.retry_at > now]
         can_request = not pauses or (limited and len(pauses) < len(eligible))
-        return Opening(
+        return RateLimitReset(
             at=now if can_request else min(each.turn_at for each in pauses),
             rate=sum(max(MIN_ENDPOINT_RATE, each) for each in rates if each is not None),
             least_urgent=max(eligible, key=lambda each: each.state.denial.urgency),
--- a/packages/wrenloft-routing/src/wrenloft_routing/_followers.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_subscriptions.py
@@ -1,4 +1,4 @@
-"""One task for each peer that is followed."""
+"""Subscriptions to peers: one task each."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Hashable, Iterable
@@ -11,10 +11,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowedNode:
+class NodePeer:
     """Another entry node.
 
-    :param address: for other nodes.
+    :param address: its internal address.
     """
 
     node_id: NodeId
@@ -22,12 +22,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowedAgent:
+class AgentPeer:
     """An engine's agent.
 
     :param engine: the engine's address.
-    :param address: the agent's own.
-    :param place: where both are.
+    :param address: the agent's address.
+    :param place: availability zone of both.
     """
 
     engine: str
@@ -35,26 +35,26 @@
     place: PlaceName
 
 
-class Followers(Generic[K]):
-    """Keeps a task for each peer that is to be followed, and for no other.
+class Subscriptions(Generic[K]):
+    """Runs one task for each subscribed peer.
 
-    :param follow: follows one peer until cancelled.
+    :param subscribe: subscribes to one peer until cancelled.
     """
 
-    def __init__(self, follow: Callable[[K], Awaitable[None]]) -> None:
-        self._follow = follow
+    def __init__(self, subscribe: Callable[[K], Awaitable[None]]) -> None:
+        self._subscribe = subscribe
         self._tasks: dict[K, asyncio.Task[None]] = {}
 
     def update(self, wanted: Iterable[K]) -> None:
-        """Follow exactly these."""
+        """Start and cancel tasks so that exactly these peers are subscribed to."""
         peers = set(wanted)
         for peer in self._tasks.keys() - peers:
             self._tasks.pop(peer).cancel()
         for peer in peers - self._tasks.keys():
-            self._tasks[peer] = asyncio.ensure_future(self._follow(peer))
+            self._tasks[peer] = asyncio.ensure_future(self._subscribe(peer))
 
     async def close(self) -> None:
-        """Stop following."""
+        """Cancel all subscriptions."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
--- a/packages/wrenloft-routing/tests/test_failure_detector.py
+++ b/packages/wrenloft-routing/tests/test_failure_detector.py
@@ -49,7 +49,7 @@
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("liveness", [Liveness.REFUSED, Liveness.SILENT])
+@pytest.mark.parametrize("liveness", [Liveness.REFUSED, Liveness.UNREACHABLE])
 async def test_endpoint_that_accepts_no_connection_has_failed(liveness: Liveness) -> None:
     """All requests that were lost with it are reported, and it is probed once."""
     harness = DetectorHarness(liveness)
@@ -63,7 +63,7 @@
 
 async def test_broken_connection_to_a_live_endpoint_is_no_failure() -> None:
     """Connections of a whole zone are reset: answers are lost, but no endpoint failed."""
-    harness = DetectorHarness(Liveness.ANSWERS)
+    harness = DetectorHarness(Liveness.REACHABLE)
     await harness.lose_answers("a")
     harness.detector.review()
     assert not harness.failures
@@ -75,7 +75,7 @@
 
     The next snapshot of the list shows another incarnation.
     """
-    harness = DetectorHarness(Liveness.ANSWERS)
+    harness = DetectorHarness(Liveness.REACHABLE)
     await harness.lose_answers("a", silent=True)
     harness.endpoints.update([replace(ENDPOINT, **after)], trusted=True)  # type: ignore[arg-type]
     harness.detector.review()
@@ -84,7 +84,7 @@
 
 async def test_restart_listed_before_the_timeout_is_a_failure() -> None:
     """The endpoint restarted within a second, and its requests had waited for two."""
-    harness = DetectorHarness(Liveness.ANSWERS)
+    harness = DetectorHarness(Liveness.REACHABLE)
     state = harness.endpoints.get(ENDPOINT.agent_id)
     assert state is not None
     harness.endpoints.update([replace(ENDPOINT, agent_id=AgentId("other"))], trusted=True)
@@ -107,7 +107,7 @@
     A request that may be sent only once waits at an unreachable endpoint; the connection of another
     request with another content is refused meanwhile.
     """
-    harness = DetectorHarness(Liveness.SILENT)
+    harness = DetectorHarness(Liveness.UNREACHABLE)
     state = harness.endpoints.get(ENDPOINT.agent_id)
     assert state is not None
     with harness.detector.track_request([state], CONTENT):
@@ -123,7 +123,7 @@
     """A process that ended refuses the next connection."""
     server = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    assert await probe_address(address) is Liveness.ANSWERS
+    assert await probe_address(address) is Liveness.REACHABLE
     server.close()
     await server.wait_closed()
     assert await probe_address(address) is Liveness.REFUSED
@@ -139,7 +139,7 @@
 
 async def test_connection_broken_before_a_failure_is_not_involved() -> None:
     """A reset ends one request; a second later another request crashes the endpoint."""
-    harness = DetectorHarness(Liveness.ANSWERS)
+    harness = DetectorHarness(Liveness.REACHABLE)
     await harness.lose_answers("a")
     harness.liveness = Liveness.REFUSED
     await harness.lose_answers("b")
--- a/packages/wrenloft-routing/tests/test_forward.py
+++ b/packages/wrenloft-routing/tests/test_forward.py
@@ -224,7 +224,7 @@
         self.proof = FreshnessProof(5.0)
         self.proof.record(read_clock())
         budget = SharedRetryBudget(0.2, slack, 10.0, 1)
-        self.liveness = Liveness.ANSWERS
+        self.liveness = Liveness.REACHABLE
         self.crashes = CrashLedger()
         self.store = FakeStore()
         self.guard = CrashGuard(self.crashes, self.store)
--- a/tests/platform/test_quarantines.py
+++ b/tests/platform/test_quarantines.py
@@ -12,7 +12,7 @@
 from wrenloft_platform._quarantines import StoredQuarantines, decode_quarantines, encode_quarantine
 from wrenloft_platform._store import StoreClient
 from wrenloft_policy import PROBE_INTERVAL_SECONDS, CrashStatus
-from wrenloft_routing import Item, Reading, ReportedCrash
+from wrenloft_routing import Item, ReportedCrash, StoreSnapshot
 
 from .conftest import StandinStore
 
@@ -102,7 +102,7 @@
 def test_malformed_quarantine_is_ignored(value: bytes) -> None:
     """An entry of another program does not hide the others."""
     good = Item(KEY, encode_quarantine(CONTENT, CRASHES, 50.0), 2)
-    snapshot = Reading((Item("wrenloft/held/x", value, 1), good), 2)
+    snapshot = StoreSnapshot((Item("wrenloft/held/x", value, 1), good), 2)
     assert decode_quarantines(snapshot, 50.0) == {CONTENT: CRASHES}
 
 
@@ -112,7 +112,7 @@
     After nine minutes it must end within one more.
     """
     item = Item(KEY, encode_quarantine(CONTENT, CRASHES, 1000.0), 1)
-    (reported,) = decode_quarantines(Reading((item,), 1), 1540.0)[CONTENT].values()
+    (reported,) = decode_quarantines(StoreSnapshot((item,), 1), 1540.0)[CONTENT].values()
     assert reported.age == 541.5
-    (reported,) = decode_quarantines(Reading((item,), 1), 990.0)[CONTENT].values()
+    (reported,) = decode_quarantines(StoreSnapshot((item,), 1), 990.0)[CONTENT].values()
     assert reported.age == 1.5
--- a/tests/platform/test_ranges.py
+++ b/tests/platform/test_ranges.py
@@ -8,7 +8,7 @@
 from wrenloft_core import read_clock
 from wrenloft_platform._ranges import LARGE_RANGE_ITEMS, RangeReader
 from wrenloft_platform._store import StoreClient
-from wrenloft_routing import Reading, Taken
+from wrenloft_routing import ReceivedSnapshot, StoreSnapshot
 
 from .conftest import StandinStore
 
@@ -21,12 +21,12 @@
     return RangeReader(StoreClient(session, store.address), PREFIX)
 
 
-def as_taken(snapshot: Reading) -> Taken:
+def as_taken(snapshot: StoreSnapshot) -> ReceivedSnapshot:
     """Return a snapshot as a node stores it."""
-    return Taken(snapshot, read_clock(), True)
+    return ReceivedSnapshot(snapshot, read_clock(), True)
 
 
-def get_revisions(snapshot: Reading) -> dict[str, int]:
+def get_revisions(snapshot: StoreSnapshot) -> dict[str, int]:
     """Return the revision of each key."""
     return snapshot.list_revisions()
 
