--- a/packages/wrenloft-routing/src/wrenloft_routing/_grants.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_grants.py
@@ -120,7 +120,7 @@
             incarnation, PlaceName(str(place)), limit, int(urgency), NodeId(str(node))
         )
     except TypeError as error:
-        raise ValueError(f"malformed grant request: {error!r}") from error
+        raise ValueError(f"no question: {error!r}") from error
 
 
 def decode_grant(fields: Any) -> Grant:
