--- a/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
@@ -73,7 +73,7 @@
         except ConnectionResetError as error:
             note(
                 _LOG,
-                "subscriber has gone away",
+                "subscriber disconnected",
                 scope=scope.value,
                 node=subscriber,
                 reason=str(error),
--- a/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
@@ -100,7 +100,7 @@
         except ConnectionResetError as error:
             note(
                 _LOG,
-                "relay has gone away",
+                "relay disconnected",
                 path=request.path,
                 peer=request.remote,
                 reason=str(error),
--- a/packages/wrenloft-routing/src/wrenloft_routing/_report_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_report_streams.py
@@ -67,7 +67,7 @@
                 async for line in response.content:
                     self._record(agent, decode_report(json.loads(line)))
                     if not received and not known:
-                        note(_LOG, "agent heard", agent=agent.address)
+                        note(_LOG, "agent connected", agent=agent.address)
                     received = True
         except (ClientError, OSError, TimeoutError, ValueError, KeyError, TypeError) as error:
             return received, repr(error)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
@@ -151,7 +151,7 @@
                 self._relay_loads.forget(_RELAY_SOURCE)
                 self._reported_engines.clear()
                 self._members.record_relay(relay, connected=True)
-                note(_LOG, "relay heard", relay=relay.node_id)
+                note(_LOG, "relay connected", relay=relay.node_id)
             self._set_role(ZoneRole.SUBSCRIBED, self._relay_loads)
             self._apply_frame(frame, mirror)
 
@@ -260,7 +260,7 @@
                         connected = True
                         self._view.forget(source)
                         self._members.record_relay(by, connected=True)
-                        note(_LOG, "zone heard", place=place, relay=by.node_id)
+                        note(_LOG, "zone connected", place=place, relay=by.node_id)
                     self._apply_zone_frame(frame, mirror, place)
 
                 reason = await read_frames(
