--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -337,7 +337,7 @@
         "swarm: a part that was fetched is loaded",
         f"{SWARM}/_reconciler.py",
         "if state.span is None:\n            return True",
-        "if state.span is None:\n            return self._means.is_cold()",
+        "if state.span is None:\n            return self._context.is_cold()",
         f"{SWARM_TESTS}::TestReconciler::test_part_is_loaded_though_others_were_faster",
     ),
     Safeguard(
@@ -873,7 +873,7 @@
         "a bucket holds little",
         f"{POLICY}/_rate_limits.py",
         "return Bucket(min(compute_burst_size(rate), bucket.tokens + refill), now)",
-        "return Bucket(bucket.tokens + earned, now)",
+        "return Bucket(bucket.tokens + refill, now)",
         f"{POLICY_TESTS}/test_rate_limits.py::TestRefillBucket"
         "::test_burst_is_bounded_after_idle_time",
     ),
