--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -246,14 +246,14 @@
         f"{ROUTING}/_endpoints.py",
         "leaving = self._left_born.get(agent_id, -1) >= endpoint.born",
         "leaving = False",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints::test_leaving_outlives_a_lapsed_entry",
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints::test_leaving_outlives_a_lapsed_entry",
     ),
     Safeguard(
         "routing: entries missing after an outage are kept",
         f"{ROUTING}/_endpoints.py",
         "if agent_id not in seen and trusted:",
         "if agent_id not in seen:",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_missing_entry_is_gone_only_if_the_snapshot_is_trusted",
     ),
     Safeguard(
@@ -261,7 +261,7 @@
         f"{ROUTING}/_endpoints.py",
         "(report.version == 0 or report.version >= listed)",
         "report.version >= listed",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_engine_that_gave_up_a_version_is_not_used_because_of_the_list",
     ),
     Safeguard(
@@ -306,7 +306,7 @@
     Safeguard(
         "routing: a chain is of one version",
         f"{ROUTING}/_chains.py",
-        "return held[state.endpoint.agent_id].version == version",
+        "return weights_by_agent[state.endpoint.agent_id].version == version",
         "return True",
         f"{ROUTING_TESTS}/test_chains.py::TestListAble"
         "::test_versions_are_never_mixed_in_a_chain",
@@ -377,7 +377,7 @@
         f"{ROUTING}/_endpoints.py",
         "if state is not None and endpoint.born > state.endpoint.born:",
         "if False:",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_endpoint_that_starts_again_has_left_nothing",
     ),
     Safeguard(
@@ -385,7 +385,7 @@
         f"{ROUTING}/_endpoints.py",
         "if report.born >= state.endpoint.born:",
         "if True:",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_report_of_an_earlier_incarnation_changes_nothing",
     ),
     Safeguard(
@@ -455,7 +455,8 @@
         f"{ROUTING}/_members.py",
         "member.avoided_until = read_clock() + pause",
         "member.avoided_until = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestMembers" "::test_lost_relay_is_skipped_for_a_while",
+        f"{ROUTING_TESTS}/test_local_state.py::TestMembers"
+        "::test_lost_relay_is_skipped_for_a_while",
     ),
     Safeguard(
         "a node that knows only itself stays with its relay",
@@ -470,7 +471,7 @@
         f"{ROUTING}/_store_snapshots.py",
         "wait = self._random.uniform(0.0, 2.0 * DIRECT_READ_SECONDS * nodes)",
         "wait = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestSharedSnapshot"
+        f"{ROUTING_TESTS}/test_local_state.py::TestSharedSnapshot"
         "::test_unavailable_store_gets_few_calls_from_many_nodes",
     ),
     Safeguard(
--- a/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_chains.py
@@ -1,4 +1,4 @@
-"""Engines that can take a request: alone, or in a chain that together holds every layer."""
+"""Engines that can take a request: alone, or in a chain that together serves all layers."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -48,22 +48,26 @@
     """
     if service.model is None:
         return [Eligible(each) for each in states]
-    held = {each.endpoint.agent_id: each.find_weights(service.model, now) for each in states}
+    weights_by_agent = {
+        each.endpoint.agent_id: each.find_weights(service.model, now) for each in states
+    }
     serving = [
-        each for each in states if _is_serving(held[each.endpoint.agent_id], max(1, required))
+        each
+        for each in states
+        if _is_serving(weights_by_agent[each.endpoint.agent_id], max(1, required))
     ]
     eligible: list[Eligible] = []
     cross_region: list[Eligible] = []
     for state in serving:
-        weights = held[state.endpoint.agent_id]
+        weights = weights_by_agent[state.endpoint.agent_id]
         is_complete = weights.span is not None and weights.span.contains(
             LayerSpan(0, service.layers)
         )
         if is_complete:
             eligible.append(Eligible(state, weights.version))
             continue
-        peers = [each for each in serving if _has_version(held, each, weights.version)]
-        chain = _find_chain(service, state, peers, held, random)
+        peers = [each for each in serving if _has_version(weights_by_agent, each, weights.version)]
+        chain = _find_chain(service, state, peers, weights_by_agent, random)
         if chain:
             crosses = any(_measure_distance(state, each.state) > 1 for each in chain)
             (cross_region if crosses else eligible).append(Eligible(state, weights.version, chain))
@@ -74,22 +78,24 @@
     return weights.span is not None and weights.version >= least
 
 
-def _has_version(held: Mapping[AgentId, EngineWeights], state: EndpointState, version: int) -> bool:
+def _has_version(
+    weights_by_agent: Mapping[AgentId, EngineWeights], state: EndpointState, version: int
+) -> bool:
     """Chains of two versions would mix their weights in one token."""
-    return held[state.endpoint.agent_id].version == version
+    return weights_by_agent[state.endpoint.agent_id].version == version
 
 
 def _find_chain(
     service: BackendService,
     first: EndpointState,
     peers: Sequence[EndpointState],
-    held: Mapping[AgentId, EngineWeights],
+    weights_by_agent: Mapping[AgentId, EngineWeights],
     random: Random,
 ) -> tuple[ChainStage, ...]:
     holders: dict[str, LayerHolder] = {}
     states: dict[str, EndpointState] = {}
     for each in peers:
-        span = held[each.endpoint.agent_id].span
+        span = weights_by_agent[each.endpoint.agent_id].span
         if span is not None:
             key = each.endpoint.agent_id
             distance = _measure_distance(first, each)
--- a/packages/wrenloft-routing/tests/test_beliefs.py
+++ b/packages/wrenloft-routing/tests/test_local_state.py
@@ -1,4 +1,4 @@
-"""Tests of a node's state of the store, endpoints and other nodes, and when it expires."""
+"""Tests of a node's local copy of the store, endpoints and nodes, and when it expires."""
 
 import asyncio
 from collections.abc import Callable
