--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -889,7 +889,7 @@
     Safeguard(
         "an urgent request retries where a less urgent one was denied",
         f"{ROUTING}/_gate.py",
-        "if choice is None and opening is not None and request.urgency < opening.urgency:",
+        "if choice is None and reset is not None and request.urgency < reset.urgency:",
         "if False:",
         f"{ROUTING_TESTS}/test_forward.py::TestRateLimits"
         "::test_urgent_request_retries_where_a_less_urgent_one_was_denied",
--- a/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_endings.py
@@ -34,7 +34,7 @@
 
 
 async def send_refusal(outcome: NotRun, sink: AnswerSink) -> None:
-    """Tell a caller that its request has not run, and when to retry."""
+    """Send a caller the refusal of a request that has not run, and when to retry."""
     headers: Headers = (("Content-Type", "text/plain"),)
     if outcome.retry_after is not None:
         headers += (("Retry-After", f"{outcome.retry_after:.3f}"),)
@@ -43,7 +43,7 @@
 
 
 async def send_failure(progress: RequestProgress, outcome: Unknown, sink: AnswerSink) -> None:
-    """Tell a caller that its request may have run, or abort an answer that has begun."""
+    """Send a caller the failure of a request that may have run, or abort a begun answer."""
     if progress.stream.begun:
         sink.abort()
         return
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -251,10 +251,10 @@
             chosen = snapshot.find(choice.key)
             snapshot.record_sent(choice.key, request.prompt_tokens)
             return self._place_at(request, chosen, choice.prediction, len(snapshot.eligible), now)
-        opening = snapshot.rate_limit_reset if request.can_request_grants else None
-        if choice is None and opening is not None and request.urgency < opening.urgency:
+        reset = snapshot.rate_limit_reset if request.can_request_grants else None
+        if choice is None and reset is not None and request.urgency < reset.urgency:
             idle = self._predict_idle(request, snapshot.work)
-            return self._place_at(request, opening.least_urgent, idle, 1, now)
+            return self._place_at(request, reset.least_urgent, idle, 1, now)
         turn = self._find_turn(request, snapshot, now)
         if turn is not None:
             return self._decide_turn(request, turn, snapshot.work, now)
@@ -286,15 +286,15 @@
         self, request: PlacementRequest, snapshot: EndpointSnapshot, now: float
     ) -> LimitedTurn | None:
         """Return the expected turn of a request if only rate limits prevent sending it."""
-        opening = snapshot.rate_limit_reset
-        if opening is None:
+        reset = snapshot.rate_limit_reset
+        if reset is None:
             return None
         service = request.service.name
         ahead = self._count_ahead(request)
         elsewhere = self._endpoints.peer_loads.get_queue(service)
-        wait = max(0.0, opening.at - now) + (ahead + elsewhere.fresh) / opening.rate
+        wait = max(0.0, reset.at - now) + (ahead + elsewhere.fresh) / reset.rate
         waiting = len(self._waiting[service]) + elsewhere.fresh + elsewhere.overdue
-        return LimitedTurn(wait, opening.rate, waiting)
+        return LimitedTurn(wait, reset.rate, waiting)
 
     def _decide_turn(
         self, request: PlacementRequest, turn: LimitedTurn, work: float, now: float
@@ -332,10 +332,10 @@
         eligible = self._list_eligible(service, tried, now, limited=limited)
         work = self._work.get(service.name, DEFAULT_WORK_SECONDS)
         loads = self._measure_loads(eligible, service, now)
-        opening = None
+        reset = None
         if all(each.limited for each in loads):
-            opening = self._find_opening(service, tried, now, limited=limited)
-        snapshot = EndpointSnapshot(now, revision, eligible, loads, service.engine, work, opening)
+            reset = self._find_rate_limit_reset(service, tried, now, limited=limited)
+        snapshot = EndpointSnapshot(now, revision, eligible, loads, service.engine, work, reset)
         if not tried:
             self._snapshots[key] = snapshot
         return snapshot
@@ -466,7 +466,7 @@
         required = self.find_required_version(service, now)
         return list_eligible(service, states, required, now, self._random)
 
-    def _find_opening(
+    def _find_rate_limit_reset(
         self, service: BackendService, tried: Collection[AgentId], now: float, *, limited: bool
     ) -> RateLimitReset | None:
         """Return when endpoints that are excluded only by rate limits take a request again.
