--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -65,7 +65,7 @@
         "::test_refuses_the_late_original_after_a_tombstone",
     ),
     Safeguard(
-        "a spent id is remembered",
+        "an id that was used is remembered",
         f"{AGENT}/_runs.py",
         "self._spent.add(run.request_id)",
         "pass",
@@ -273,7 +273,7 @@
         "::test_stale_configuration_refuses_keys_but_serves_public_rules",
     ),
     Safeguard(
-        "routing: what is not idempotent is not repeated",
+        "routing: requests that are not idempotent are not retried",
         f"{ROUTING}/_forward.py",
         "allowed = progress.rule.idempotent and not progress.is_probe",
         "allowed = not progress.is_probe",
@@ -289,7 +289,7 @@
         "::test_unsafe_request_is_never_repeated",
     ),
     Safeguard(
-        "routing: events follow on each other",
+        "routing: events are contiguous",
         f"{ROUTING}/_streams.py",
         "if not _is_contiguous(events, stream.last_event):",
         "if False:",
@@ -365,7 +365,7 @@
         "::test_response_without_length_needs_a_clean_close",
     ),
     Safeguard(
-        "adapter: the client library repeats nothing",
+        "adapter: the client library retries nothing",
         f"{ADAPTER}/_serve.py",
         "session._retry_connection = False",
         "session._retry_connection = True",
@@ -521,7 +521,7 @@
         "::test_connections_do_not_grow_with_the_fleet",
     ),
     Safeguard(
-        "the store's content goes deflated",
+        "the store's content is sent deflated",
         f"{ROUTING}/_packing.py",
         "<= MAX_PLAIN_BYTES:",
         "<= MAX_PLAIN_BYTES * MAX_PLAIN_BYTES:",
@@ -529,7 +529,7 @@
         "::test_endpoints_reach_all_nodes_of_a_zone_in_time_to_serve",
     ),
     Safeguard(
-        "deflated text is taken out up to a length",
+        "deflated text is inflated up to a length",
         f"{ROUTING}/_packing.py",
         "if not inflater.eof:",
         "if False:",
@@ -544,7 +544,7 @@
         "::test_changes_between_pages_are_not_missed",
     ),
     Safeguard(
-        "lost history is read whole",
+        "after a loss of history the full range is read",
         f"{ADAPTER}/_ranges.py",
         "except HistoryLostError:",
         "except ZeroDivisionError:",
@@ -600,7 +600,7 @@
         "::test_slow_receiver_does_not_hold_the_link",
     ),
     Safeguard(
-        "the link passes on when a granted request is cancelled",
+        "the link is granted again when a granted request is cancelled",
         f"{SWARM}/_upload_queue.py",
         "self._wake_next()  # the link",
         "pass  # the link",
@@ -631,7 +631,7 @@
         "::test_engine_whose_turn_has_passed_swaps_at_once",
     ),
     Safeguard(
-        "engines go on one after the other",
+        "engines swap one after the other",
         f"{POLICY}/_versions.py",
         "turn * max(MIN_SWAP_SPREAD_SECONDS, latest - start)",
         "0.0",
@@ -855,7 +855,7 @@
         "::test_answers_to_requests_sent_before_do_not_end_it",
     ),
     Safeguard(
-        "of two updates on a limit the later one holds",
+        "of two updates on a limit the later one applies",
         f"{POLICY}/_rate_limits.py",
         "if known is None or (reported.sequence, reported.node) > (known.sequence, known.node):",
         "if True:",
@@ -871,7 +871,7 @@
         "::test_two_partitions_leave_capacity_for_bursts",
     ),
     Safeguard(
-        "a bucket holds little",
+        "the tokens in a bucket are bounded",
         f"{POLICY}/_rate_limits.py",
         "return Bucket(min(compute_burst_size(rate), bucket.tokens + refill), now)",
         "return Bucket(bucket.tokens + refill, now)",
@@ -895,7 +895,7 @@
         "::test_urgent_request_retries_where_a_less_urgent_one_was_denied",
     ),
     Safeguard(
-        "an agent looks nodes up that it was never told of",
+        "an agent looks up nodes of which it received no update",
         f"{AGENT}/nodes/_attach.py",
         "self._known.addresses = listed",
         "pass",
@@ -919,7 +919,9 @@
             target = copy / safeguard.file
             text = target.read_text()
             if text.count(safeguard.present) != 1:
-                print(f"STALE   {safeguard.name}: {safeguard.file} no longer has it once")
+                print(
+                    f"STALE   {safeguard.name}: {safeguard.file} does not contain it exactly once"
+                )
                 return False
             target.write_text(text.replace(safeguard.present, safeguard.absent))
             failed = await run_test(copy, safeguard.test)
@@ -946,13 +948,13 @@
         async with asyncio.timeout(TEST_SECONDS):
             return await handle.wait() == 1
     except TimeoutError:
-        os.killpg(handle.pid, signal.SIGKILL)  # with the programs that the test has started
+        os.killpg(handle.pid, signal.SIGKILL)  # and the programs that the test has started
         await handle.wait()
-        return True  # what it waits for never comes without the safeguard
+        return True  # without the safeguard, the awaited event never occurs
 
 
 async def run(words: str) -> int:
-    """Check every safeguard whose name holds ``words``."""
+    """Check every safeguard whose name contains ``words``."""
     slots = asyncio.Semaphore(PARALLEL)
     chosen = [each for each in SAFEGUARDS if words in each.name]
     results = await asyncio.gather(*(check(each, slots) for each in chosen))
