--- a/packages/wrenloft-policy/src/wrenloft_policy/_endpoints.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_endpoints.py
@@ -11,13 +11,13 @@
 MAX_OBJECTIVE_SHARE = 0.9
 MIN_OBJECTIVE_SHARE = 0.5
 """Bounds of the share of the latency objective that a prediction may use. Below the minimum, an
-endpoint that reads one mean prompt accepts nothing more: at 0.25, nodes still refused a quarter of
+endpoint that reads one mean prompt accepts nothing more: at 0.25, nodes still refuse a quarter of
 all requests (49 of 191) two seconds after an outage."""
 
 OBJECTIVE_SHARE_STEP = 0.15
 """Step by which the share adapts: from maximum to minimum within four seconds at five first events
-a second and node, a third of them late. With a fifth of this step, the share adapted only halfway
-through an overload of 20 s, and half of the responses were late."""
+a second and node, a third of them late. At a fifth of this step, the share adapts only halfway
+through an overload of 20 s, and half of the responses are late."""
 
 IN_TIME_TARGET = 0.85
 """Target share of sent requests that are in time. Closer to one, engines would idle to make sure of
@@ -119,7 +119,7 @@
 
 PREFILL_TIME_SHARE = 0.8
 """Share of its time that an engine with few streams spends on prefill. Without this deduction, 2 to
-12 of 100 requests were refused under normal load that would all have been in time."""
+12 of 100 requests are refused under normal load that would all be in time."""
 
 
 MAX_UNREACHABLE_SHARE = 0.1
@@ -334,8 +334,8 @@
     """Return the predicted seconds that count against the latency objective.
 
     A large prompt's own work counts only up to that of a mean one, so that it may queue as long as
-    others. Counted in full, the largest tenth of the requests found no capacity under overload and
-    were served a third as often as the others, although they are worth most.
+    others. Counted in full, the largest tenth of the requests finds no capacity under overload and
+    is served a third as often as the others, although they are worth most.
     """
     if engine is None:
         return prediction.total
--- a/packages/wrenloft-policy/src/wrenloft_policy/_fetching.py
+++ b/packages/wrenloft-policy/src/wrenloft_policy/_fetching.py
@@ -21,14 +21,14 @@
 
 ORIGIN_TIMEOUT_STEP_SECONDS = 0.25
 """Seconds by which each further agent waits longer before it fetches from the origin out of turn.
-When all 33 agents did so at once after the origin's recovery, they fetched 35 chunks, of which 17
-were missing."""
+When all 33 agents do so at once after the origin's recovery, they fetch 35 chunks, of which 17 are
+missing."""
 
 DRAIN_TIME_FACTOR = 1.2
 """Multiple of the origin's transfer time of a version after which chunks that nobody stores are
-late. With a fixed time from the start, turns passed on after 1.5 s and others helped after 1.0 s
-while the fetchers still had the chunks in transfer: 17 of the first 64 chunks from the origin were
-second copies, and 17 others were missing when it became unavailable."""
+late. With a fixed time from the start, turns pass on after 1.5 s and others help after 1.0 s while
+the fetchers still have the chunks in transfer: 17 of the first 64 chunks from the origin are second
+copies, and 17 others are missing when it becomes unavailable."""
 
 STALL_SECONDS = 1.0
 """Time without a chunk that is new to all agents, after which the remaining chunks are late as
@@ -92,7 +92,7 @@
 
     A few, spread over the common order, while chunks are not late. All of them once they are,
     because the origin was unavailable or fetchers are dead; each chunk still belongs to one agent.
-    When every agent that lacked a chunk fetched it, 25 chunks took 4.5 s instead of the 1.1 s that
+    When every agent that lacks a chunk fetches it, 25 chunks take 4.5 s instead of the 1.1 s that
     the origin's link needs.
 
     :param members: candidates, preferably of the origin's region: a chunk that enters another
@@ -129,8 +129,8 @@
     First a chunk that nobody stores and that this agent fetches from the origin, then one that only
     other regions store and that this agent fetches for its region, then the rarest that a neighbour
     in the region stores. Chunks that others need go before those that only this agent needs: in the
-    other order, neighbours occupied all fetches, the origin's link was idle, and after 5 s a third
-    of the chunks had not left it. Turns prevent that a chunk leaves the origin, or crosses between
+    other order, neighbours occupy all fetches, the origin's link is idle, and after 5 s a third of
+    the chunks have not left it. Turns prevent that a chunk leaves the origin, or crosses between
     regions, more than once.
 
     :param missing: chunks neither stored nor being fetched.
@@ -143,9 +143,9 @@
     :param origin_free: whether another fetch from the origin may start.
     :param origin_first: whether this agent's link is reserved for the origin while chunks that it
         should fetch there have not left it. The origin may become unavailable at any moment: when
-        they shared their links with neighbours' chunks, three fetchers received 21 of 37 possible
-        chunks a second, and 14 of 64 were missing at all agents when the origin became unavailable
-        2.3 s after the version was named.
+        they share their links with neighbours' chunks, three fetchers receive 21 of 37 possible
+        chunks a second, and 14 of 64 are missing at all agents when the origin becomes unavailable
+        2.3 s after the version is named.
     :param origin_repeats: whether that may be a chunk that others store, but fewer than half of
         them. The uplinks of the origin's region, which carry every chunk to the other regions as
         well as their own, are the bottleneck; an agent that joins later finds enough sources
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -394,7 +394,7 @@
         """Return whether a request leaves the spare capacity to others, here or elsewhere.
 
         When an engine returns while many requests wait, all nodes see it idle at the same moment:
-        21 requests reached it within 50 ms, of which a third were in time. Each request is
+        21 requests reach it within 50 ms, of which a third are in time. Each request is
         therefore sent with a probability that admits as many as there is capacity for, until the
         nodes have received one another's load updates.
 
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_reconciler.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_reconciler.py
@@ -318,8 +318,8 @@
         """Retry the recovery of staged chunks until it succeeds.
 
         Agents may start before the origin, which has the digests to check the chunks by. Without a
-        retry, two of six agents had no chunks for the engines that joined, and those fetched from
-        the origin what was staged on every host.
+        retry, two of six agents have no chunks for the engines that join, and those fetch from the
+        origin what is staged on every host.
         """
         while not await self._recover_staged():
             await asyncio.sleep(RECOVERY_RETRY_SECONDS)
