--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -246,14 +246,14 @@
         f"{ROUTING}/_endpoints.py",
         "leaving = self._left.get(agent_id, -1) >= endpoint.born",
         "leaving = False",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints::test_leaving_outlives_a_lapsed_entry",
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints::test_leaving_outlives_a_lapsed_entry",
     ),
     Safeguard(
         "routing: entries missing after an outage are doubted",
         f"{ROUTING}/_endpoints.py",
         "if agent_id not in seen and trusted:",
         "if agent_id not in seen:",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_missing_entry_is_gone_only_if_the_reading_is_trusted",
     ),
     Safeguard(
@@ -261,7 +261,7 @@
         f"{ROUTING}/_endpoints.py",
         "(report.version == 0 or report.version >= listed)",
         "report.version >= listed",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_engine_that_gave_up_a_version_is_not_used_because_of_the_list",
     ),
     Safeguard(
@@ -313,35 +313,35 @@
     ),
     Safeguard(
         "swarm: a chunk is checked before it is kept",
-        f"{SWARM}/_holdings.py",
+        f"{SWARM}/_chunk_store.py",
         "if not self.is_own(chunk, data):",
         "if False:",
         f"{SWARM_TESTS}::TestHolding::test_refuses_spoilt_bytes",
     ),
     Safeguard(
         "swarm: staged chunks are read back before the order",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "return data is not None and holding.is_own(chunk, data)",
         "return data is not None",
         f"{SWARM_TESTS}::TestUpkeep" "::test_rotten_staged_chunks_are_replaced_before_the_order",
     ),
     Safeguard(
         "swarm: nothing is staged between check and order",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "async with self._staging:\n            await self._verify",
         "if True:\n            await self._verify",
         f"{SWARM_TESTS}::TestUpkeep::test_next_versions_chunk_takes_no_checked_ones_place",
     ),
     Safeguard(
         "swarm: a part that was fetched is loaded",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "if state.span is None:\n            return True",
         "if state.span is None:\n            return self._means.is_cold()",
         f"{SWARM_TESTS}::TestUpkeep::test_part_is_loaded_though_others_were_faster",
     ),
     Safeguard(
         "swarm: a stalled fetch keeps no requests away",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "if holding.missing() and read_clock() - holding.added_at > STALL_SECONDS:",
         "if False:",
         f"{SWARM_TESTS}::TestUpkeep::test_stalled_fetch_keeps_no_requests_away",
@@ -375,7 +375,7 @@
         f"{ROUTING}/_endpoints.py",
         "if state is not None and endpoint.born > state.endpoint.born:",
         "if False:",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_endpoint_that_starts_again_has_left_nothing",
     ),
     Safeguard(
@@ -383,7 +383,7 @@
         f"{ROUTING}/_endpoints.py",
         "if report.born >= state.endpoint.born:",
         "if True:",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestEndpoints"
+        f"{ROUTING_TESTS}/test_local_state.py::TestEndpoints"
         "::test_word_of_an_earlier_incarnation_changes_nothing",
     ),
     Safeguard(
@@ -426,7 +426,7 @@
     ),
     Safeguard(
         "any version that is about to be loaded keeps requests away",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "for each in self._wanted if each.number > state.version)",
         "for each in [self._current] if each.number > state.version)",
         f"{SWARM_TESTS}::TestUpkeep"
@@ -442,7 +442,7 @@
     ),
     Safeguard(
         "a reading never looks younger than it is",
-        f"{ROUTING}/_readings.py",
+        f"{ROUTING}/_store_snapshots.py",
         "change.begun_at - self._clock_lead",
         "change.begun_at",
         f"{ROUTING_TESTS}/test_zone.py::TestReadingMirror"
@@ -453,7 +453,7 @@
         f"{ROUTING}/_members.py",
         "member.avoided_until = read_clock() + pause",
         "member.avoided_until = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestMembers"
+        f"{ROUTING_TESTS}/test_local_state.py::TestMembers"
         "::test_relay_that_was_lost_is_passed_over_for_a_while",
     ),
     Safeguard(
@@ -466,10 +466,10 @@
     ),
     Safeguard(
         "other nodes of a zone read the store in turns",
-        f"{ROUTING}/_readings.py",
+        f"{ROUTING}/_store_snapshots.py",
         "wait = self._random.uniform(0.0, 2.0 * SELF_READ_SECONDS * nodes)",
         "wait = 0.0",
-        f"{ROUTING_TESTS}/test_beliefs.py::TestSharedReading"
+        f"{ROUTING_TESTS}/test_local_state.py::TestSharedReading"
         "::test_store_that_is_away_gets_few_calls_from_many_nodes",
     ),
     Safeguard(
@@ -481,14 +481,14 @@
     ),
     Safeguard(
         "a look counts what it sent",
-        f"{ROUTING}/_snapshot.py",
+        f"{ROUTING}/_endpoint_snapshot.py",
         "waiting=load.waiting + 1",
         "waiting=load.waiting",
         f"{ROUTING_TESTS}/test_snapshot.py::TestSnapshot::test_requests_of_one_moment_spread",
     ),
     Safeguard(
         "a look ends when it changes who can be used",
-        f"{ROUTING}/_snapshot.py",
+        f"{ROUTING}/_endpoint_snapshot.py",
         "return self.revision == revision and now",
         "return now",
         f"{ROUTING_TESTS}/test_snapshot.py::TestSnapshot"
@@ -559,60 +559,61 @@
     ),
     Safeguard(
         "an agent lists nothing before the seed's key is read",
-        f"{ADAPTER}/_feed.py",
+        f"{ADAPTER}/_relay_tracker.py",
         "return self._has_asked and not self.is_fed",
         "return True",
-        f"{ADAPTER_TESTS}/test_feed.py::TestFeed"
+        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestFeed"
         "::test_lists_nothing_while_the_store_answers_nothing",
     ),
     Safeguard(
         "agents of a large fleet wait longer",
-        f"{ADAPTER}/_feed.py",
+        f"{ADAPTER}/_relay_tracker.py",
         "self._patience if self.is_large else 0.0",
         "0.0",
-        f"{ADAPTER_TESTS}/test_feed.py::TestFeed::test_agents_of_a_large_fleet_wait_longer",
+        f"{ADAPTER_TESTS}/test_relay_tracker.py::TestFeed::test_agents_of_a_large_fleet_wait_longer",
     ),
     Safeguard(
         "a change of rules is not told to agents",
-        f"{ADAPTER}/_reduced.py",
+        f"{ADAPTER}/_agent_documents.py",
         "if self._reduced is None or self._reduced.value != value:",
         "if True:",
-        f"{ADAPTER_TESTS}/test_reduced.py::TestAgentDocuments" "::test_change_of_rules_is_not_told",
+        f"{ADAPTER_TESTS}/test_agent_documents.py::TestAgentDocuments"
+        "::test_change_of_rules_is_not_told",
     ),
     Safeguard(
         "urgent chunks go first",
-        f"{SWARM}/_upload_turns.py",
+        f"{SWARM}/_upload_queue.py",
         "(not urgent, next(self._order), turn)",
         "(False, next(self._order), turn)",
-        "packages/wrenloft-swarm/tests/test_upload_turns.py::TestUploadTurns"
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
         "::test_urgent_chunks_go_first_and_in_order",
     ),
     Safeguard(
         "a slow receiver gives the link back",
-        f"{SWARM}/_upload_turns.py",
+        f"{SWARM}/_upload_queue.py",
         "call_later(ALONE_SECONDS, release)",
         "call_later(1e6, release)",
-        "packages/wrenloft-swarm/tests/test_upload_turns.py::TestUploadTurns"
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
         "::test_slow_receiver_does_not_hold_the_link",
     ),
     Safeguard(
         "a turn passes on when its asker has left",
-        f"{SWARM}/_upload_turns.py",
+        f"{SWARM}/_upload_queue.py",
         "self._pass_on()  # it was",
         "pass  # it was",
-        "packages/wrenloft-swarm/tests/test_upload_turns.py::TestUploadTurns"
+        "packages/wrenloft-swarm/tests/test_upload_queue.py::TestUploadTurns"
         "::test_asker_that_leaves_holds_up_nobody",
     ),
     Safeguard(
         "chunks that lie staged are taken for the version on its way",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "if self._is_first_fetch:",
         "if False:",
         f"{SWARM_TESTS}::TestUpkeep::test_killed_agent_goes_on_where_it_was",
     ),
     Safeguard(
         "nobody waits for the digests of what lies staged",
-        f"{SWARM}/_upkeep.py",
+        f"{SWARM}/_reconciler.py",
         "timeout=RECOVER_FIRST_SECONDS)",
         "timeout=None)",
         f"{SWARM_TESTS}::TestUpkeep"
@@ -774,7 +775,7 @@
         f"{ADAPTER}/_store.py",
         'expected = [{"key": key, "revision": 0}]',
         "expected: list[dict[str, Any]] = []",
-        f"{ADAPTER_TESTS}/test_holds.py::test_one_of_two_nodes_claims_a_trial",
+        f"{ADAPTER_TESTS}/test_quarantines.py::test_one_of_two_nodes_claims_a_trial",
     ),
     Safeguard(
         "a rate limit is read from answers",
--- a/packages/wrenloft-routing/src/wrenloft_routing/__init__.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/__init__.py
@@ -35,7 +35,6 @@
     ReplyBrokenError,
 )
 from wrenloft_routing._failure_detector import EndpointFailure, FailureDetector, FailureSign
-from wrenloft_routing._followers import FollowedAgent, FollowedNode, Followers
 from wrenloft_routing._forward import Forwarder
 from wrenloft_routing._frame_streams import FrameRoutes, read_frames
 from wrenloft_routing._frames import (
@@ -65,7 +64,9 @@
 from wrenloft_routing._metrics import MESSAGES
 from wrenloft_routing._packing import Item
 from wrenloft_routing._proof import CurrencyProof
-from wrenloft_routing._readings import (
+from wrenloft_routing._report_streams import ReportFollower, decode_report
+from wrenloft_routing._settings import Bounds, EntrySettings
+from wrenloft_routing._store_snapshots import (
     ReaderRole,
     Reading,
     ReadingMirror,
@@ -73,9 +74,8 @@
     SharedReading,
     Taken,
 )
-from wrenloft_routing._report_streams import ReportFollower, decode_report
-from wrenloft_routing._settings import Bounds, EntrySettings
 from wrenloft_routing._streams import Pump, StreamEnd, pump_stream
+from wrenloft_routing._subscriptions import FollowedAgent, FollowedNode, Followers
 from wrenloft_routing._table import (
     BackendService,
     Caller,
--- a/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_frame_streams.py
@@ -10,7 +10,7 @@
 from wrenloft_policy import measure_frame_interval
 from wrenloft_routing._frames import Frame, FrameScope, decode_frame, encode_frame
 from wrenloft_routing._metrics import MESSAGES
-from wrenloft_routing._readings import ReadingMirror, SharedReading
+from wrenloft_routing._store_snapshots import ReadingMirror, SharedReading
 from wrenloft_routing._zone_view import FrameWriter, ZoneView
 
 _LOG = logging.getLogger(__name__)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_gate.py
@@ -29,9 +29,9 @@
     share_room,
 )
 from wrenloft_routing._chains import Able, ChainStage, list_able
+from wrenloft_routing._endpoint_snapshot import Opening, Snapshot
 from wrenloft_routing._endpoints import Endpoints, EndpointState
 from wrenloft_routing._loads import QueueLength
-from wrenloft_routing._snapshot import Opening, Snapshot
 from wrenloft_routing._table import BackendService
 
 WORK_SECONDS = 0.03
--- a/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_load_streams.py
@@ -13,7 +13,6 @@
 from wrenloft_policy import measure_frame_interval
 from wrenloft_routing._crash_ledger import CrashLedger, CrashNews, CrashSource
 from wrenloft_routing._endpoints import Endpoints
-from wrenloft_routing._followers import FollowedNode
 from wrenloft_routing._frames import (
     decode_crashes,
     decode_limits,
@@ -28,6 +27,7 @@
 from wrenloft_routing._loads import NO_LOAD, InProgress, LoadUpdate, QueueLength
 from wrenloft_routing._members import Members, NodeState
 from wrenloft_routing._metrics import MESSAGES
+from wrenloft_routing._subscriptions import FollowedNode
 from wrenloft_routing._zone_view import ZoneView
 
 _LOG = logging.getLogger(__name__)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_report_streams.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_report_streams.py
@@ -10,8 +10,8 @@
 from wrenloft_core import note, read_clock
 from wrenloft_policy import LayerSpan
 from wrenloft_routing._endpoints import Endpoints, EngineReport
-from wrenloft_routing._followers import FollowedAgent
 from wrenloft_routing._metrics import MESSAGES
+from wrenloft_routing._subscriptions import FollowedAgent
 from wrenloft_routing._zone_view import ZoneView
 
 _LOG = logging.getLogger(__name__)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_zone.py
@@ -11,14 +11,14 @@
 from wrenloft_policy import assign_places
 from wrenloft_routing._crash_ledger import CrashSource
 from wrenloft_routing._endpoints import Endpoints
-from wrenloft_routing._followers import FollowedAgent, FollowedNode, Followers
 from wrenloft_routing._frame_streams import FrameRoutes, read_frames
 from wrenloft_routing._frames import Frame, FrameScope
 from wrenloft_routing._load_streams import NodeFollower
 from wrenloft_routing._loads import LoadUpdate, PeerLoads
 from wrenloft_routing._members import Member, Members, NodeState
-from wrenloft_routing._readings import ReaderRole, ReadingMirror, SharedReading
 from wrenloft_routing._report_streams import ReportFollower
+from wrenloft_routing._store_snapshots import ReaderRole, ReadingMirror, SharedReading
+from wrenloft_routing._subscriptions import FollowedAgent, FollowedNode, Followers
 from wrenloft_routing._zone_view import ZoneView
 
 _LOG = logging.getLogger(__name__)
--- a/packages/wrenloft-routing/src/wrenloft_routing/_zone_view.py
+++ b/packages/wrenloft-routing/src/wrenloft_routing/_zone_view.py
@@ -9,7 +9,7 @@
 from wrenloft_routing._frames import Frame, FrameScope, ReadingChange
 from wrenloft_routing._loads import NO_LOAD, InProgress, LoadUpdate, PeerLoads, QueueLength
 from wrenloft_routing._members import Members, NodeState
-from wrenloft_routing._readings import SharedReading
+from wrenloft_routing._store_snapshots import SharedReading
 
 CACHE_SECONDS = 0.01
 """How long a sum over all nodes is used again: followers asked in one turn are told the same."""
--- a/packages/wrenloft-routing/tests/test_beliefs.py
+++ b/packages/wrenloft-routing/tests/test_local_state.py
@@ -377,7 +377,7 @@
         A single late reading is no outage, and changes nothing.
         """
         clock = _Clock()
-        monkeypatch.setattr("wrenloft_routing._readings.read_clock", clock.read)
+        monkeypatch.setattr("wrenloft_routing._store_snapshots.read_clock", clock.read)
         taken: list[Taken] = []
 
         async def fetch() -> Reading:
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/__init__.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/__init__.py
@@ -1,6 +1,6 @@
 """Weights by a swarm of agents, each of which orders only its own engine."""
 
-from wrenloft_swarm._holdings import Holding, Holdings, VersionName
+from wrenloft_swarm._chunk_store import Holding, Holdings, VersionName
 from wrenloft_swarm._ports import (
     Engine,
     EngineState,
@@ -8,10 +8,10 @@
     OrderResult,
     WeightsOrigin,
 )
+from wrenloft_swarm._reconciler import Means, Upkeep
 from wrenloft_swarm._server import UPLOAD_SHARE, LatestState, SwarmRoutes
 from wrenloft_swarm._settings import AgentSettings
 from wrenloft_swarm._transfer import SwarmTransfer
-from wrenloft_swarm._upkeep import Means, Upkeep
 
 __all__ = [
     "UPLOAD_SHARE",
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_neighbours.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_neighbours.py
@@ -9,7 +9,7 @@
 from blake3 import blake3
 
 from wrenloft_core import PlatformUnavailableError, read_clock
-from wrenloft_swarm._holdings import VersionName
+from wrenloft_swarm._chunk_store import VersionName
 from wrenloft_swarm._ports import Neighbour, Urgency
 
 CONNECT_SECONDS = 1.0
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_ports.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_ports.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from wrenloft_policy import EVERY_LAYER, LayerSpan
-from wrenloft_swarm._holdings import VersionName
+from wrenloft_swarm._chunk_store import VersionName
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_upkeep.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_reconciler.py
@@ -25,8 +25,8 @@
     predict_first_whole,
     split_layers,
 )
-from wrenloft_swarm._duties import Duties
-from wrenloft_swarm._holdings import KEPT_VERSIONS, Holding, Holdings, VersionName
+from wrenloft_swarm._assignments import Duties
+from wrenloft_swarm._chunk_store import KEPT_VERSIONS, Holding, Holdings, VersionName
 from wrenloft_swarm._neighbours import fetch_digests
 from wrenloft_swarm._ports import (
     Engine,
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_server.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_server.py
@@ -11,9 +11,9 @@
 
 from wrenloft_core import ModelName, Pacer, note, read_clock
 from wrenloft_policy import LayerSpan
-from wrenloft_swarm._holdings import Holding, Holdings, VersionName
+from wrenloft_swarm._chunk_store import Holding, Holdings, VersionName
 from wrenloft_swarm._ports import EngineState, Urgency
-from wrenloft_swarm._upload_turns import UploadTurns
+from wrenloft_swarm._upload_queue import UploadTurns
 
 _LOG = logging.getLogger(__name__)
 
--- a/packages/wrenloft-swarm/src/wrenloft_swarm/_transfer.py
+++ b/packages/wrenloft-swarm/src/wrenloft_swarm/_transfer.py
@@ -16,8 +16,8 @@
     measure_lateness,
     measure_origin_patience,
 )
-from wrenloft_swarm._duties import Duties
-from wrenloft_swarm._holdings import Holding
+from wrenloft_swarm._assignments import Duties
+from wrenloft_swarm._chunk_store import Holding
 from wrenloft_swarm._neighbours import (
     BUSY_SECONDS,
     Followed,
--- a/packages/wrenloft-swarm/tests/test_neighbours.py
+++ b/packages/wrenloft-swarm/tests/test_neighbours.py
@@ -8,9 +8,9 @@
 
 from wrenloft_core import ModelName, PlatformUnavailableError
 from wrenloft_swarm import Holdings, LatestState, Means, Neighbour, Upkeep
-from wrenloft_swarm._holdings import VersionName
+from wrenloft_swarm._chunk_store import VersionName
 from wrenloft_swarm._neighbours import choose_followed
-from wrenloft_swarm._upkeep import _count_digest_rounds
+from wrenloft_swarm._reconciler import _count_digest_rounds
 
 
 def _fleet(regions: int, each: int) -> list[tuple[str, str]]:
@@ -94,7 +94,7 @@
             return ("d",)
 
         rounds = 0
-        with patch("wrenloft_swarm._upkeep.fetch_digests", ask):
+        with patch("wrenloft_swarm._reconciler.fetch_digests", ask):
             while len(holders) < agents:
                 rounds += 1
                 seekers = [each for each in addresses if each not in holders]
--- a/packages/wrenloft-swarm/tests/test_swarm.py
+++ b/packages/wrenloft-swarm/tests/test_swarm.py
@@ -26,7 +26,7 @@
     Upkeep,
     VersionName,
 )
-from wrenloft_swarm._duties import Duties
+from wrenloft_swarm._assignments import Duties
 
 MODEL = ModelName("m")
 COUNT = 12
--- a/packages/wrenloft-swarm/tests/test_upload_turns.py
+++ b/packages/wrenloft-swarm/tests/test_upload_queue.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wrenloft_swarm import _upload_turns
-from wrenloft_swarm._upload_turns import UploadTurns
+from wrenloft_swarm._upload_queue import UploadTurns
 
 
 async def send(turns: UploadTurns, name: str, sent: list[str], *, urgent: bool) -> None:
--- a/tests/platform/test_reduced.py
+++ b/tests/platform/test_agent_documents.py
@@ -2,8 +2,8 @@
 
 import json
 
+from wrenloft_platform._agent_documents import AgentDocuments
 from wrenloft_platform._decode import decode_table
-from wrenloft_platform._reduced import AgentDocuments
 from wrenloft_routing import Item
 
 SERVICES = [{"name": "plain", "maxConnections": 20}]
--- a/tests/platform/test_holds.py
+++ b/tests/platform/test_quarantines.py
@@ -9,7 +9,7 @@
 
 from wrenloft_core import ContentId, IncarnationId
 from wrenloft_platform import _holds
-from wrenloft_platform._holds import StoredHolds, decode_holds, encode_hold
+from wrenloft_platform._quarantines import StoredHolds, decode_holds, encode_hold
 from wrenloft_platform._store import StoreClient
 from wrenloft_policy import TRIAL_SECONDS, Standing
 from wrenloft_routing import Item, Reading, ToldCrash
--- a/tests/platform/test_feed.py
+++ b/tests/platform/test_relay_tracker.py
@@ -8,7 +8,7 @@
 
 from wrenloft_core import PlaceName, read_clock
 from wrenloft_platform import _feed
-from wrenloft_platform._feed import FED_SECONDS, Feed
+from wrenloft_platform._relay_tracker import FED_SECONDS, Feed
 from wrenloft_platform._store import StoreClient
 
 from .conftest import StandinStore
